--- a/logic/admission.go
+++ b/balancer/admission.go
@@ -1,5 +1,5 @@
 // The rules of admission: what may be sent, and how counts and shares are learned from how calls end.
-package logic
+package balancer
 
 import (
 	"cmp"
--- a/logic/api.go
+++ b/balancer/api.go
@@ -1,13 +1,13 @@
-// Package logic decides, for one proxy of one tier, which server gets each call and which calls are
+// Package balancer decides, for one proxy of one tier, which server gets each call and which calls are
 // refused. This file is its interface: settings, events and actions. It holds no decisions; those are
-// all in logic.go.
+// in the other files.
 //
 // One Balancer serves one proxy. It is not safe for concurrent use: the owner calls one event method at
 // a time, in the order in which the events happened, each with the time of the owner's clock. Times and
 // durations are whole microseconds; the clock may begin anywhere and only advances. A Balancer keeps no
 // goroutines, locks or global state, reads no clock and draws its random numbers from the seed alone, so
 // the same events give the same actions.
-package logic
+package balancer
 
 import "fmt"
 
@@ -196,30 +196,30 @@
 		{!(s.TipMultiple >= 0), "TipMultiple: negative"},
 	} {
 		if c.bad {
-			return fmt.Errorf("logic: Settings.%s", c.field)
+			return fmt.Errorf("balancer: Settings.%s", c.field)
 		}
 	}
 	for i, c := range s.Classes {
 		switch {
 		case c.Aim <= 0:
-			return fmt.Errorf("logic: Settings.Classes[%d].Aim: not positive", i)
+			return fmt.Errorf("balancer: Settings.Classes[%d].Aim: not positive", i)
 		case c.Deadline <= 0:
-			return fmt.Errorf("logic: Settings.Classes[%d].Deadline: not positive", i)
+			return fmt.Errorf("balancer: Settings.Classes[%d].Deadline: not positive", i)
 		case !(c.Worth >= 0):
-			return fmt.Errorf("logic: Settings.Classes[%d].Worth: negative", i)
+			return fmt.Errorf("balancer: Settings.Classes[%d].Worth: negative", i)
 		case !(c.LateWorth >= 0):
-			return fmt.Errorf("logic: Settings.Classes[%d].LateWorth: negative", i)
+			return fmt.Errorf("balancer: Settings.Classes[%d].LateWorth: negative", i)
 		case c.Repeat < Safe || c.Repeat > Unsafe:
-			return fmt.Errorf("logic: Settings.Classes[%d].Repeat: unknown", i)
+			return fmt.Errorf("balancer: Settings.Classes[%d].Repeat: unknown", i)
 		case c.Group < GroupAll || c.Group > GroupCell:
-			return fmt.Errorf("logic: Settings.Classes[%d].Group: unknown", i)
+			return fmt.Errorf("balancer: Settings.Classes[%d].Group: unknown", i)
 		case c.Window < 0:
-			return fmt.Errorf("logic: Settings.Classes[%d].Window: negative", i)
+			return fmt.Errorf("balancer: Settings.Classes[%d].Window: negative", i)
 		}
 	}
 	for i, t := range s.Tenants {
 		if !(t.Portion >= 0) || !(t.Quota >= 0) {
-			return fmt.Errorf("logic: Settings.Tenants[%d]: negative Portion or Quota", i)
+			return fmt.Errorf("balancer: Settings.Tenants[%d]: negative Portion or Quota", i)
 		}
 	}
 	return nil
--- a/logic/logic.go
+++ b/balancer/balancer.go
@@ -4,7 +4,7 @@
 // cluster node), the tenant's (QPS grade, origin node), the class's (thread grade, default node). A rule
 // over its count fails fast and unsent. Counts are learned: they start high, rise after rounds of timely
 // finishes and are cut after bad ones. A call that passes goes to a server by a weighted random draw.
-package logic
+package balancer
 
 import (
 	"cmp"
--- a/logic/logic_test.go
+++ b/balancer/balancer_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"fmt"
@@ -905,7 +905,7 @@
 	} {
 		s := testSettings()
 		spoil(&s)
-		if _, err := New(s, 1); err == nil || !slices.Contains([]string{"logic: Settings." + field}, prefix(err.Error())) {
+		if _, err := New(s, 1); err == nil || !slices.Contains([]string{"balancer: Settings." + field}, prefix(err.Error())) {
 			t.Errorf("%s: error %v", field, err)
 		}
 	}
@@ -913,7 +913,7 @@
 
 // prefix is an error's text up to the colon that follows the field.
 func prefix(s string) string {
-	for i := len("logic: "); i < len(s); i++ {
+	for i := len("balancer: "); i < len(s); i++ {
 		if s[i] == ':' {
 			return s[:i]
 		}
--- a/logic/example_test.go
+++ b/balancer/example_test.go
@@ -1,9 +1,9 @@
-package logic_test
+package balancer_test
 
 import (
 	"fmt"
 
-	"fernlanding/logic"
+	"baylock/balancer"
 )
 
 // printer is a Host that prints what it is told; a proxy would act on it.
@@ -21,9 +21,9 @@
 // A balancer is told of two servers and takes a request; the first server is full, so the request goes to the
 // other one, which answers it.
 func Example() {
-	b, err := logic.New(logic.Settings{
+	b, err := balancer.New(balancer.Settings{
 		Siblings: 1, Zones: 1, MaxAttempts: 3, StartCapacity: 0.2, Cold: 20_000_000,
-		Classes: []logic.Class{{Aim: 500_000, Deadline: 1_500_000, Worth: 1, Repeat: logic.Unsafe}},
+		Classes: []balancer.Class{{Aim: 500_000, Deadline: 1_500_000, Worth: 1, Repeat: balancer.Unsafe}},
 	}, 1)
 	if err != nil {
 		fmt.Println(err)
@@ -31,13 +31,13 @@
 	}
 	var h printer
 	now := int64(1_000_000)
-	b.List(now, h, logic.Full, []logic.Server{
-		{ID: "a", State: logic.Ready, Size: 1}, {ID: "b", State: logic.Ready, Size: 1},
+	b.List(now, h, balancer.Full, []balancer.Server{
+		{ID: "a", State: balancer.Ready, Size: 1}, {ID: "b", State: balancer.Ready, Size: 1},
 	})
-	b.Request(now, h, logic.Request{ID: "r1", GiveUp: now + 1_500_000})
-	b.Outcome(now+1000, h, logic.Outcome{ID: "r1", Attempt: 0, Status: logic.FullUp, Took: 1000})
-	b.Outcome(now+90_000, h, logic.Outcome{ID: "r1", Attempt: 1, Status: logic.OK, Took: 89_000, Closed: true})
-	b.Request(now+90_000, h, logic.Request{ID: "r2", GiveUp: now + 91_000}) // no time left for an answer
+	b.Request(now, h, balancer.Request{ID: "r1", GiveUp: now + 1_500_000})
+	b.Outcome(now+1000, h, balancer.Outcome{ID: "r1", Attempt: 0, Status: balancer.FullUp, Took: 1000})
+	b.Outcome(now+90_000, h, balancer.Outcome{ID: "r1", Attempt: 1, Status: balancer.OK, Took: 89_000, Closed: true})
+	b.Request(now+90_000, h, balancer.Request{ID: "r2", GiveUp: now + 91_000}) // no time left for an answer
 	// Output:
 	// send r1 to b for 500000
 	// send r1 to a for 499000
--- a/logic/learned_test.go
+++ b/balancer/learned_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"math"
--- a/logic/load_test.go
+++ b/balancer/load_test.go
@@ -1,11 +1,11 @@
-package logic
+package balancer
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"testing"
 
-	"fernlanding/internal/timing"
+	"baylock/internal/timing"
 )
 
 // A loadModel plays some copies of the module before servers with one worker and one queue each, on a drawn day.
--- a/logic/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"errors"
@@ -19,11 +19,11 @@
 	}
 	// Counts and shares that one tier has taught mean nothing in another.
 	if s.Stage != b.s.Stage {
-		return errors.New("logic: Settings.Stage: a change needs a restart")
+		return errors.New("balancer: Settings.Stage: a change needs a restart")
 	}
 	// What was asked of the subscription before would never be answered, or what is told now was never asked for.
 	if s.Subscribe != b.s.Subscribe {
-		return errors.New("logic: Settings.Subscribe: a change needs a restart")
+		return errors.New("balancer: Settings.Subscribe: a change needs a restart")
 	}
 	ordinal := b.s.Ordinal
 	b.configure(s)
--- a/cmd/fernlanding/main.go
+++ b/cmd/baylock/main.go
@@ -1,4 +1,4 @@
-// Command fernlanding is one real proxy: it balances calls to the backends of a tier.
+// Command baylock is one real proxy: it balances calls to the backends of a tier.
 package main
 
 import (
@@ -12,16 +12,16 @@
 	"strconv"
 	"syscall"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/proxy"
-	"fernlanding/internal/settings"
+	"baylock/internal/discovery"
+	"baylock/internal/proxy"
+	"baylock/internal/settings"
 )
 
 const defaultSockets = 1024
 
 func main() {
 	if err := run(); err != nil {
-		fmt.Fprintf(os.Stderr, "fernlanding: %v\n", err)
+		fmt.Fprintf(os.Stderr, "baylock: %v\n", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/fernlanding/main_test.go
+++ b/cmd/baylock/main_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/proxy"
+	"baylock/internal/proxy"
 )
 
 const good = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",` +
--- a/cmd/scale/experiments.go
+++ b/cmd/scale/experiments.go
@@ -1,14 +1,14 @@
 package main
 
 import (
-	"fernlanding/internal/scale"
-	"fernlanding/internal/scale/admission"
-	"fernlanding/internal/scale/depth"
-	"fernlanding/internal/scale/latency"
-	"fernlanding/internal/scale/propagation"
-	"fernlanding/internal/scale/ramp"
-	"fernlanding/internal/scale/reload"
-	"fernlanding/internal/scale/slopes"
+	"baylock/internal/scale"
+	"baylock/internal/scale/admission"
+	"baylock/internal/scale/depth"
+	"baylock/internal/scale/latency"
+	"baylock/internal/scale/propagation"
+	"baylock/internal/scale/ramp"
+	"baylock/internal/scale/reload"
+	"baylock/internal/scale/slopes"
 )
 
 // experiments are all that the tool can run, in the order in which it lists them.
--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -14,7 +14,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"fernlanding/internal/scale"
+	"baylock/internal/scale"
 )
 
 const exitFailed = 1
--- a/cmd/scale/main_test.go
+++ b/cmd/scale/main_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/scale"
+	"baylock/internal/scale"
 )
 
 // The test binary stands in for the command, and for the processes that experiments start.
--- a/cmd/scale/run.go
+++ b/cmd/scale/run.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"fernlanding/internal/scale"
+	"baylock/internal/scale"
 )
 
 const (
--- a/cmd/scale/source.go
+++ b/cmd/scale/source.go
@@ -11,11 +11,11 @@
 	"strings"
 	"sync"
 
-	"fernlanding/internal/scale"
+	"baylock/internal/scale"
 )
 
 const (
-	defaultProgram = "bin/fernlanding"
+	defaultProgram = "bin/baylock"
 	changedSuffix  = "+changes"
 )
 
--- a/cmd/simhost/serve.go
+++ b/cmd/simadapter/serve.go
@@ -8,8 +8,8 @@
 	"fmt"
 	"io"
 
-	"fernlanding/internal/settings"
-	"fernlanding/logic"
+	"baylock/balancer"
+	"baylock/internal/settings"
 )
 
 const (
@@ -19,7 +19,7 @@
 
 // instance is one proxy's balancer with the host that carries out its decisions.
 type instance struct {
-	bal  *logic.Balancer
+	bal  *balancer.Balancer
 	host *host
 }
 
@@ -28,7 +28,7 @@
 	now       int64
 	inBatch   bool
 	instances map[string]*instance
-	rosters   [rosters][]logic.Server
+	rosters   [rosters][]balancer.Server
 	listed    [rosters]bool
 	out       *bufio.Writer
 	enc       *json.Encoder
@@ -162,7 +162,7 @@
 	if err != nil {
 		return fmt.Errorf("new_instance: options.%w", err)
 	}
-	bal, err := logic.New(site.Logic, *n.Salt)
+	bal, err := balancer.New(site.Logic, *n.Salt)
 	if err != nil {
 		return fmt.Errorf("new_instance: %w", err)
 	}
@@ -178,8 +178,8 @@
 	if m.How == nil || *m.How < 0 || *m.How > 3 {
 		return errors.New("membership: how is missing or unknown")
 	}
-	kind := logic.ListKind(*m.How)
-	if kind == logic.Failed {
+	kind := balancer.ListKind(*m.How)
+	if kind == balancer.Failed {
 		in.bal.List(s.now, in.host, kind, nil)
 		return nil
 	}
@@ -198,7 +198,7 @@
 	if j.Ticket == nil || j.Band == nil || j.GiveUp == nil {
 		return errors.New("job_in: ticket, band or give_up_at_us is missing")
 	}
-	in.bal.Request(s.now, in.host, logic.Request{ID: *j.Ticket, Class: *j.Band, Tenant: j.Owner, Key: j.Key,
+	in.bal.Request(s.now, in.host, balancer.Request{ID: *j.Ticket, Class: *j.Band, Tenant: j.Owner, Key: j.Key,
 		GiveUp: *j.GiveUp})
 	return nil
 }
@@ -215,7 +215,7 @@
 	if !ok {
 		return fmt.Errorf("completed: unknown verdict %d", *c.Verdict)
 	}
-	in.bal.Outcome(s.now, in.host, logic.Outcome{ID: *c.Ticket, Attempt: *c.Go, Status: status,
+	in.bal.Outcome(s.now, in.host, balancer.Outcome{ID: *c.Ticket, Attempt: *c.Go, Status: status,
 		Took: c.Took, Closed: c.Terminal})
 	return nil
 }
--- a/cmd/simhost/serve_test.go
+++ b/cmd/simadapter/serve_test.go
@@ -138,7 +138,7 @@
 		{`{"ledger":{"roster_id":1,"elements":[{"backend":"b","dc":0}]}}`, "line 2: ledger: elements[0]"},
 		{`{"ledger":{"roster_id":1,"elements":[{"backend":"b","dc":0,"state":3}]}}`, "line 2: ledger: elements[0].state"},
 		{strings.Replace(instanceLine("p"), "deduplicated", "sometimes", 1), `line 2: new_instance: options.profiles[0].repeat: unknown word "sometimes"`},
-		{strings.Replace(instanceLine("p"), `"my_zone":1`, `"my_zone":2`, 1), "line 2: new_instance: logic: Settings.Zone"},
+		{strings.Replace(instanceLine("p"), `"my_zone":1`, `"my_zone":2`, 1), "line 2: new_instance: balancer: Settings.Zone"},
 		{strings.Replace(instanceLine("p"), `"salt":7,`, "", 1), "line 2: new_instance: who, salt or options"},
 	} {
 		_, err := run(t, batch(1, c.line))
--- a/cmd/simhost/wire.go
+++ b/cmd/simadapter/wire.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"fmt"
 
-	"fernlanding/logic"
+	"baylock/balancer"
 )
 
 // event is one line of input: an object with a single key, the event's name.
@@ -86,14 +86,14 @@
 	Nonce *string `json:"nonce"`
 }
 
-var statuses = map[int]logic.Status{
-	200: logic.OK, 500: logic.Error, 503: logic.FullUp, 504: logic.TimedOut, 502: logic.ConnectFailed,
-	598: logic.Reset, 499: logic.Cancelled, 410: logic.Moot,
+var statuses = map[int]balancer.Status{
+	200: balancer.OK, 500: balancer.Error, 503: balancer.FullUp, 504: balancer.TimedOut, 502: balancer.ConnectFailed,
+	598: balancer.Reset, 499: balancer.Cancelled, 410: balancer.Moot,
 }
 
 // servers turns a roster's elements into the library's servers.
-func (l *ledger) servers() ([]logic.Server, error) {
-	out := make([]logic.Server, 0, len(*l.Elements))
+func (l *ledger) servers() ([]balancer.Server, error) {
+	out := make([]balancer.Server, 0, len(*l.Elements))
 	for i, e := range *l.Elements {
 		if e.Backend == nil || e.State == nil || e.DC == nil {
 			return nil, fmt.Errorf("elements[%d]: backend, dc or state is missing", i)
@@ -101,8 +101,8 @@
 		if *e.State < 0 || *e.State > 2 {
 			return nil, fmt.Errorf("elements[%d].state: unknown state %d", i, *e.State)
 		}
-		s := logic.Server{ID: *e.Backend, Zone: *e.DC, Cell: e.Pack,
-			State: logic.State(*e.State), Size: 1, Launched: e.Launched}
+		s := balancer.Server{ID: *e.Backend, Zone: *e.DC, Cell: e.Pack,
+			State: balancer.State(*e.State), Size: 1, Launched: e.Launched}
 		if e.Power != nil {
 			s.Size = *e.Power
 		}
--- a/internal/discovery/zones.go
+++ b/internal/discovery/zones.go
@@ -4,7 +4,7 @@
 	"hash/fnv"
 	"io"
 
-	"fernlanding/logic"
+	"baylock/balancer"
 )
 
 // Zones numbers zones by name: the settings' own from 0, any other by a hash, so that names without end leave
@@ -32,15 +32,15 @@
 
 // Servers turns entries into the decision module's. Its clock has to show Unix time in microseconds, since the start
 // times of backends are handed on as such.
-func (z Zones) Servers(entries []Endpoint) []logic.Server {
-	out := make([]logic.Server, 0, len(entries))
+func (z Zones) Servers(entries []Endpoint) []balancer.Server {
+	out := make([]balancer.Server, 0, len(entries))
 	for _, e := range entries {
-		s := logic.Server{ID: e.Name, Zone: z.Number(e.Zone), Cell: e.Group, Size: 1, Launched: e.SinceMs * 1000}
+		s := balancer.Server{ID: e.Name, Zone: z.Number(e.Zone), Cell: e.Group, Size: 1, Launched: e.SinceMs * 1000}
 		switch e.Status {
 		case Serving:
-			s.State = logic.Ready
+			s.State = balancer.Ready
 		case Draining:
-			s.State = logic.Draining
+			s.State = balancer.Draining
 		}
 		if e.Weight != nil {
 			s.Size = *e.Weight
--- a/internal/emulator/backend/backend.go
+++ b/internal/emulator/backend/backend.go
@@ -9,9 +9,9 @@
 	"fmt"
 	"time"
 
-	"fernlanding/internal/emulator/hollow"
-	"fernlanding/internal/timing"
-	"fernlanding/logic"
+	"baylock/balancer"
+	"baylock/internal/emulator/hollow"
+	"baylock/internal/timing"
 )
 
 // Caller makes calls to the next tier; a *hollow.Proxy does.
@@ -22,12 +22,12 @@
 
 // Config describes the backends of one tier; they are all alike.
 type Config struct {
-	Names   []string      // of the backends, as discovery lists them
-	Classes []logic.Class // of calls, in the order of the proxies' settings
-	Work    time.Duration // mean of the time that a call takes at a warm backend, without that of the next tier
-	Latency time.Duration // mean of the time on the network, each way; 0: none
-	Workers int           // calls that a backend works on at once; one that waits for the next tier keeps its worker
-	Queue   int           // calls that wait for a worker at most; those beyond are turned away
+	Names   []string         // of the backends, as discovery lists them
+	Classes []balancer.Class // of calls, in the order of the proxies' settings
+	Work    time.Duration    // mean of the time that a call takes at a warm backend, without that of the next tier
+	Latency time.Duration    // mean of the time on the network, each way; 0: none
+	Workers int              // calls that a backend works on at once; one that waits for the next tier keeps its worker
+	Queue   int              // calls that wait for a worker at most; those beyond are turned away
 	Cold    ColdStart
 	Crowded Crowding
 	Seed    uint64 // of all random draws
@@ -113,10 +113,10 @@
 const timerSlack = 50 * time.Microsecond
 
 // Attempt implements hollow.Upstream. An attempt that is given up on its way there never arrives.
-func (t *Tier) Attempt(ctx context.Context, name string, call hollow.Call) logic.Status {
+func (t *Tier) Attempt(ctx context.Context, name string, call hollow.Call) balancer.Status {
 	s := t.servers[name]
 	if s == nil {
-		return logic.ConnectFailed
+		return balancer.ConnectFailed
 	}
 	return s.visit(ctx, call, s.draw(call.ID))
 }
--- a/internal/emulator/backend/backend_test.go
+++ b/internal/emulator/backend/backend_test.go
@@ -10,8 +10,8 @@
 	"testing/synctest"
 	"time"
 
-	"fernlanding/internal/emulator/hollow"
-	"fernlanding/logic"
+	"baylock/balancer"
+	"baylock/internal/emulator/hollow"
 )
 
 const (
@@ -21,10 +21,10 @@
 	unsafeClass = 2
 )
 
-var testClasses = []logic.Class{
-	{Aim: 200_000, Deadline: 1_000_000, Repeat: logic.Safe},
-	{Aim: 200_000, Deadline: 1_000_000, Repeat: logic.Keyed, Window: 500_000},
-	{Aim: 200_000, Deadline: 1_000_000, Repeat: logic.Unsafe},
+var testClasses = []balancer.Class{
+	{Aim: 200_000, Deadline: 1_000_000, Repeat: balancer.Safe},
+	{Aim: 200_000, Deadline: 1_000_000, Repeat: balancer.Keyed, Window: 500_000},
+	{Aim: 200_000, Deadline: 1_000_000, Repeat: balancer.Unsafe},
 }
 
 func testConfig() Config {
@@ -49,15 +49,15 @@
 }
 
 // attempt makes one attempt that is given up after the given time.
-func attempt(tier *Tier, id string, class int, patience time.Duration) logic.Status {
+func attempt(tier *Tier, id string, class int, patience time.Duration) balancer.Status {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	return tier.Attempt(ctx, "b1", hollow.Call{ID: id, Class: class, Deadline: time.Now().Add(patience)})
 }
 
 // attempts makes n attempts at once and returns how many ended in each way.
-func attempts(tier *Tier, n int, patience time.Duration) map[logic.Status]int {
-	ends := map[logic.Status]int{}
+func attempts(tier *Tier, n int, patience time.Duration) map[balancer.Status]int {
+	ends := map[balancer.Status]int{}
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	for i := range n {
@@ -110,7 +110,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		tier := newTier(t, testConfig())
 		ends := attempts(tier, 5, time.Second)
-		if ends[logic.OK] != 3 || ends[logic.FullUp] != 2 {
+		if ends[balancer.OK] != 3 || ends[balancer.FullUp] != 2 {
 			t.Errorf("two workers and a place in the queue: %v of five calls at once", ends)
 		}
 		c := tier.Counts()
@@ -118,7 +118,7 @@
 			c.InFlight != 0 || c.InFlightPeak < 3 {
 			t.Errorf("counts %+v", c)
 		}
-		if got := tier.Attempt(t.Context(), "other", hollow.Call{}); got != logic.ConnectFailed {
+		if got := tier.Attempt(t.Context(), "other", hollow.Call{}); got != balancer.ConnectFailed {
 			t.Errorf("an unknown backend: status %v", got)
 		}
 	})
@@ -131,7 +131,7 @@
 		begin := time.Now()
 		for i := range calls {
 			sent := time.Now()
-			if got := attempt(tier, strconv.Itoa(i), someClass, time.Second); got != logic.OK {
+			if got := attempt(tier, strconv.Itoa(i), someClass, time.Second); got != balancer.OK {
 				t.Fatalf("status %v", got)
 			}
 			if took := time.Since(sent); took < 6*millisecond {
@@ -149,23 +149,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		tier := newTier(t, testConfig())
 		must(t, tier.SetFaults(Faults{FailPart: 0.3, StallPart: 0.2}))
-		ends := map[logic.Status]int{}
+		ends := map[balancer.Status]int{}
 		for i := range 1000 {
 			sent := time.Now()
 			status := attempt(tier, strconv.Itoa(i), someClass, time.Second)
-			if ends[status]++; status == logic.Cancelled && time.Since(sent).Truncate(timerSlack) != time.Second {
+			if ends[status]++; status == balancer.Cancelled && time.Since(sent).Truncate(timerSlack) != time.Second {
 				t.Fatalf("a stalled call ended after %v", time.Since(sent))
 			}
 		}
-		within := func(status logic.Status, least, most int) {
+		within := func(status balancer.Status, least, most int) {
 			if ends[status] < least || ends[status] > most {
 				t.Errorf("%d of 1000 ended with status %v; want %d to %d", ends[status], status, least, most)
 			}
 		}
-		within(logic.Error, 250, 350)
-		within(logic.Cancelled, 150, 250)
-		within(logic.OK, 450, 550)
-		if c := tier.Counts(); c.Failed != int64(ends[logic.Error]) || c.Abandoned != int64(ends[logic.Cancelled]) || c.InFlight != 0 {
+		within(balancer.Error, 250, 350)
+		within(balancer.Cancelled, 150, 250)
+		within(balancer.OK, 450, 550)
+		if c := tier.Counts(); c.Failed != int64(ends[balancer.Error]) || c.Abandoned != int64(ends[balancer.Cancelled]) || c.InFlight != 0 {
 			t.Errorf("counts %+v", c)
 		}
 	})
@@ -176,11 +176,11 @@
 		tier := newTier(t, testConfig())
 		must(t, tier.SetFaults(Faults{StallPart: 1}))
 		ends := attempts(tier, 5, 100*millisecond)
-		if ends[logic.Cancelled] != 3 || ends[logic.FullUp] != 2 {
+		if ends[balancer.Cancelled] != 3 || ends[balancer.FullUp] != 2 {
 			t.Errorf("ends %v", ends)
 		}
 		must(t, tier.SetFaults(Faults{}))
-		if ends = attempts(tier, 2, 100*millisecond); ends[logic.OK] != 2 {
+		if ends = attempts(tier, 2, 100*millisecond); ends[balancer.OK] != 2 {
 			t.Errorf("after the stall: ends %v", ends)
 		}
 	})
@@ -195,11 +195,11 @@
 				t.Error(err)
 			}
 		})
-		if got := attempt(tier, "impatient", someClass, 200*millisecond); got != logic.Cancelled {
+		if got := attempt(tier, "impatient", someClass, 200*millisecond); got != balancer.Cancelled {
 			t.Errorf("during the hang: status %v", got)
 		}
 		sent := time.Now()
-		if got := attempt(tier, "patient", someClass, time.Second); got != logic.OK || time.Since(sent) < 100*millisecond {
+		if got := attempt(tier, "patient", someClass, time.Second); got != balancer.OK || time.Since(sent) < 100*millisecond {
 			t.Errorf("status %v after %v; want OK after the hang", got, time.Since(sent))
 		}
 	})
@@ -214,14 +214,14 @@
 				t.Error(err)
 			}
 		})
-		if ends := attempts(tier, 3, time.Second); ends[logic.Reset] != 3 {
+		if ends := attempts(tier, 3, time.Second); ends[balancer.Reset] != 3 {
 			t.Errorf("at the crash: %v", ends)
 		}
-		if got := attempt(tier, "down", someClass, time.Second); got != logic.ConnectFailed {
+		if got := attempt(tier, "down", someClass, time.Second); got != balancer.ConnectFailed {
 			t.Errorf("down: status %v", got)
 		}
 		must(t, tier.Start("b1"))
-		if got := attempt(tier, "up", someClass, time.Second); got != logic.OK {
+		if got := attempt(tier, "up", someClass, time.Second); got != balancer.OK {
 			t.Errorf("up: status %v", got)
 		}
 		if c := tier.Counts(); c.Arrived != 4 || c.Reset != 3 || c.InFlight != 0 {
@@ -247,14 +247,14 @@
 		next := &nextTier{answer: func(context.Context) hollow.Result { return hollow.Result{Outcome: hollow.Served} }}
 		must(t, tier.Connect("b1", next))
 		call := hollow.Call{ID: "c", Class: keyedClass, Tenant: 1, Key: "k", Depth: 3}
-		send := func(deadline time.Time) logic.Status {
+		send := func(deadline time.Time) balancer.Status {
 			ctx, cancel := context.WithDeadline(t.Context(), deadline)
 			defer cancel()
 			call.Deadline = deadline
 			return tier.Attempt(ctx, "b1", call)
 		}
 		sent := time.Now()
-		if got := send(sent.Add(50*millisecond + 700*time.Microsecond)); got != logic.OK {
+		if got := send(sent.Add(50*millisecond + 700*time.Microsecond)); got != balancer.OK {
 			t.Errorf("served by the next tier: status %v", got)
 		}
 		got := next.calls[0]
@@ -267,14 +267,14 @@
 			t.Errorf("call to the next tier: %+v", got)
 		}
 		next.answer = func(context.Context) hollow.Result { return hollow.Result{Outcome: hollow.Refused} }
-		if got := send(time.Now().Add(time.Second)); got != logic.Error {
+		if got := send(time.Now().Add(time.Second)); got != balancer.Error {
 			t.Errorf("refused by the next tier: status %v", got)
 		}
 		next.answer = func(ctx context.Context) hollow.Result {
 			<-ctx.Done()
 			return hollow.Result{}
 		}
-		if got := send(time.Now().Add(100 * millisecond)); got != logic.Cancelled {
+		if got := send(time.Now().Add(100 * millisecond)); got != balancer.Cancelled {
 			t.Errorf("given up during the call to the next tier: status %v", got)
 		}
 		if c := tier.Counts(); c.Served != 1 || c.Failed != 1 || c.Abandoned != 1 {
@@ -348,14 +348,14 @@
 			must(t, tier.Start("b1"))
 			ends := attempts(tier, c.calls, time.Second)
 			counts := tier.Counts()
-			if fell := counts.Fallen == 1; fell != c.falls || fell != (counts.ColdWorst > 1) || fell != (ends[logic.Reset] > 0) {
+			if fell := counts.Fallen == 1; fell != c.falls || fell != (counts.ColdWorst > 1) || fell != (ends[balancer.Reset] > 0) {
 				t.Errorf("%d calls at once: ends %v, counts %+v", c.calls, ends, counts)
 			}
 			if mean := counts.ColdWorst * bears / 200; math.Abs(counts.ColdWorstMean-mean) > 0.01 {
 				t.Errorf("worst load %v of the mean; want %v", counts.ColdWorstMean, mean)
 			}
 			got := attempt(tier, "later", someClass, time.Second)
-			if down := got == logic.ConnectFailed; down != c.falls {
+			if down := got == balancer.ConnectFailed; down != c.falls {
 				t.Errorf("after %d calls at once: status %v", c.calls, got)
 			}
 			if !c.falls && counts.ColdArrived != int64(c.calls) {
@@ -378,7 +378,7 @@
 }
 
 func TestSameSeedSameEnds(t *testing.T) {
-	play := func() (ends []logic.Status, took time.Duration) {
+	play := func() (ends []balancer.Status, took time.Duration) {
 		synctest.Test(t, func(t *testing.T) {
 			tier := newTier(t, testConfig())
 			must(t, tier.SetFaults(Faults{FailPart: 0.5}))
@@ -400,7 +400,7 @@
 // Attempts that begin at one instant, and those whose time is up at one, must not make two plays differ.
 func TestAttemptsAtOneInstant(t *testing.T) {
 	const calls = 50
-	play := func() (ends [calls]logic.Status, times [calls]time.Duration) {
+	play := func() (ends [calls]balancer.Status, times [calls]time.Duration) {
 		synctest.Test(t, func(t *testing.T) {
 			cfg := testConfig()
 			cfg.Workers = calls
--- a/internal/emulator/backend/counts.go
+++ b/internal/emulator/backend/counts.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"fernlanding/logic"
+	"baylock/balancer"
 )
 
 // Counts is what a tier has counted. An attempt that arrived and is neither served nor failed, turned away, abandoned
@@ -35,7 +35,7 @@
 	runs   runLog
 }
 
-func newBooks(classes []logic.Class) *books {
+func newBooks(classes []balancer.Class) *books {
 	return &books{counts: Counts{ArrivedByClass: make([]int64, len(classes))}, runs: newRunLog(classes)}
 }
 
@@ -59,18 +59,18 @@
 }
 
 // ended counts the end of an attempt that has arrived.
-func (b *books) ended(status logic.Status) {
+func (b *books) ended(status balancer.Status) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.counts.InFlight--
 	switch status {
-	case logic.OK:
+	case balancer.OK:
 		b.counts.Served++
-	case logic.Error:
+	case balancer.Error:
 		b.counts.Failed++
-	case logic.FullUp:
+	case balancer.FullUp:
 		b.counts.TurnedAway++
-	case logic.Reset:
+	case balancer.Reset:
 		b.counts.Reset++
 	default:
 		b.counts.Abandoned++
@@ -101,13 +101,13 @@
 // runLog remembers when calls that may not simply be repeated were first run, for as long as a repeat may come. All
 // backends of the tier drop the repeats of a keyed call between them, within its class's window.
 type runLog struct {
-	classes []logic.Class
+	classes []balancer.Class
 	keep    time.Duration
 	first   map[string]time.Time
 	order   []string // IDs by the time of their first run
 }
 
-func newRunLog(classes []logic.Class) runLog {
+func newRunLog(classes []balancer.Class) runLog {
 	log := runLog{classes: classes, first: map[string]time.Time{}}
 	for _, c := range classes {
 		log.keep = max(log.keep, microseconds(max(2*c.Deadline, 2*c.Window)))
@@ -119,7 +119,7 @@
 
 // begin takes a run and tells whether the call's class allows it.
 func (l *runLog) begin(id string, class int, now time.Time) bool {
-	if class < 0 || class >= len(l.classes) || l.classes[class].Repeat == logic.Safe {
+	if class < 0 || class >= len(l.classes) || l.classes[class].Repeat == balancer.Safe {
 		return true
 	}
 	l.prune(now)
@@ -129,7 +129,7 @@
 		l.order = append(l.order, id)
 		return true
 	}
-	return l.classes[class].Repeat == logic.Keyed && now.Sub(first) <= microseconds(l.classes[class].Window)
+	return l.classes[class].Repeat == balancer.Keyed && now.Sub(first) <= microseconds(l.classes[class].Window)
 }
 
 func (l *runLog) prune(now time.Time) {
--- a/internal/emulator/backend/crowded_test.go
+++ b/internal/emulator/backend/crowded_test.go
@@ -6,7 +6,7 @@
 	"testing/synctest"
 	"time"
 
-	"fernlanding/logic"
+	"baylock/balancer"
 )
 
 // timeOf is how long so many calls at once take in all.
@@ -15,7 +15,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		tier := newTier(t, cfg)
 		begin := time.Now()
-		if ends := attempts(tier, calls, time.Minute); ends[logic.OK] != calls {
+		if ends := attempts(tier, calls, time.Minute); ends[balancer.OK] != calls {
 			t.Errorf("%d calls at once: %v", calls, ends)
 		}
 		took = time.Since(begin)
@@ -45,9 +45,9 @@
 		for i := range calls {
 			sent := time.Now()
 			switch status := attempt(tier, strconv.Itoa(i), someClass, time.Minute); status {
-			case logic.Reset:
+			case balancer.Reset:
 				reset++
-			case logic.OK:
+			case balancer.OK:
 			default:
 				t.Fatalf("status %v", status)
 			}
--- a/internal/emulator/backend/server.go
+++ b/internal/emulator/backend/server.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/emulator/hollow"
-	"fernlanding/logic"
+	"baylock/balancer"
+	"baylock/internal/emulator/hollow"
 )
 
 var errProcessEnded = errors.New("the backend's process has ended")
@@ -121,17 +121,17 @@
 }
 
 // visit sees an attempt there and back. It returns Cancelled soon after the context ends.
-func (s *server) visit(ctx context.Context, call hollow.Call, d draws) logic.Status {
+func (s *server) visit(ctx context.Context, call hollow.Call, d draws) balancer.Status {
 	remaining := toldTime(call.Deadline)
 	ctx, cancel := withSlack(ctx, d.slack)
 	defer cancel()
 	if !sleep(ctx, d.wayThere+s.lateness(d)) {
-		return logic.Cancelled
+		return balancer.Cancelled
 	}
 	v := &visit{call: call, draws: d, until: time.Now().Add(remaining), worker: make(chan struct{})}
 	status := s.serve(ctx, v)
-	if status == logic.Cancelled || !sleep(ctx, d.wayBack) {
-		return logic.Cancelled
+	if status == balancer.Cancelled || !sleep(ctx, d.wayBack) {
+		return balancer.Cancelled
 	}
 	return status
 }
@@ -160,12 +160,12 @@
 }
 
 // serve takes a call that has arrived, and returns its end.
-func (s *server) serve(ctx context.Context, v *visit) logic.Status {
+func (s *server) serve(ctx context.Context, v *visit) balancer.Status {
 	status := s.admit(v, time.Now())
-	if status == logic.ConnectFailed {
+	if status == balancer.ConnectFailed {
 		return status
 	}
-	if status == logic.OK {
+	if status == balancer.OK {
 		status = s.handle(ctx, v)
 	}
 	s.books.ended(status)
@@ -173,18 +173,18 @@
 }
 
 // admit gives an arriving call a worker or a place in the queue, or turns it away.
-func (s *server) admit(v *visit, now time.Time) logic.Status {
+func (s *server) admit(v *visit, now time.Time) balancer.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.process
 	if p == nil {
-		return logic.ConnectFailed
+		return balancer.ConnectFailed
 	}
 	v.process = p
 	s.books.arrived(v.call.Class)
 	if s.falls(p, v, now) {
 		s.crash()
-		return logic.Reset
+		return balancer.Reset
 	}
 	switch {
 	case p.busy < s.cfg.Workers:
@@ -193,9 +193,9 @@
 	case len(p.waiting) < s.cfg.Queue:
 		p.waiting = append(p.waiting, v)
 	default:
-		return logic.FullUp
+		return balancer.FullUp
 	}
-	return logic.OK
+	return balancer.OK
 }
 
 // falls takes an arriving call into a cold backend's load and tells whether it is too much.
@@ -213,18 +213,18 @@
 }
 
 // handle sees an admitted call through, until it is given up or the process ends.
-func (s *server) handle(ctx context.Context, v *visit) logic.Status {
+func (s *server) handle(ctx context.Context, v *visit) balancer.Status {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	unlink := context.AfterFunc(v.process.ctx, func() { cancel(errProcessEnded) })
 	defer unlink()
-	status := logic.Cancelled
+	status := balancer.Cancelled
 	if s.awaitWorker(ctx, v) {
 		status = s.run(ctx, v)
 		s.release(v.process)
 	}
-	if status == logic.Cancelled && context.Cause(ctx) == errProcessEnded {
-		return logic.Reset
+	if status == balancer.Cancelled && context.Cause(ctx) == errProcessEnded {
+		return balancer.Reset
 	}
 	return status
 }
@@ -263,23 +263,23 @@
 }
 
 // run does a call's work. It returns Cancelled when the context ends.
-func (s *server) run(ctx context.Context, v *visit) logic.Status {
+func (s *server) run(ctx context.Context, v *visit) balancer.Status {
 	now := time.Now()
 	s.books.began(v.call.ID, v.call.Class, now)
 	if !sleep(ctx, s.duration(v, now)) || !s.awaitResume(ctx) {
-		return logic.Cancelled
+		return balancer.Cancelled
 	}
 	next, faults := s.afterWork()
 	switch {
 	case v.draws.luck < faults.FailPart:
-		return logic.Error
+		return balancer.Error
 	case v.draws.luck < faults.FailPart+faults.StallPart:
 		<-ctx.Done()
-		return logic.Cancelled
+		return balancer.Cancelled
 	case v.draws.luck < faults.FailPart+faults.StallPart+faults.ResetPart:
-		return logic.Reset
+		return balancer.Reset
 	case next == nil:
-		return logic.OK
+		return balancer.OK
 	}
 	return s.callNext(ctx, next, v)
 }
@@ -329,18 +329,18 @@
 }
 
 // callNext calls the next tier with the time that remains. The call fails unless that one is served.
-func (s *server) callNext(ctx context.Context, next Caller, v *visit) logic.Status {
+func (s *server) callNext(ctx context.Context, next Caller, v *visit) balancer.Status {
 	call := v.call
 	call.ID, call.Deadline = s.nextID(), v.until
 	call.Depth++
 	result := next.Call(ctx, call)
 	switch {
 	case ctx.Err() != nil:
-		return logic.Cancelled
+		return balancer.Cancelled
 	case result.Outcome == hollow.Served:
-		return logic.OK
+		return balancer.OK
 	}
-	return logic.Error
+	return balancer.Error
 }
 
 // nextID returns a new ID for a call of this backend to the next tier.
--- a/internal/emulator/hollow/discovery_test.go
+++ b/internal/emulator/hollow/discovery_test.go
@@ -8,9 +8,9 @@
 	"testing/synctest"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/emulator/registry"
-	"fernlanding/logic"
+	"baylock/balancer"
+	"baylock/internal/discovery"
+	"baylock/internal/emulator/registry"
 )
 
 const watchedList = "service"
@@ -70,11 +70,11 @@
 }
 
 // Attempt implements Upstream.
-func (d *discoveryTest) Attempt(_ context.Context, server string, _ Call) logic.Status {
+func (d *discoveryTest) Attempt(_ context.Context, server string, _ Call) balancer.Status {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.servers[server]++
-	return logic.OK
+	return balancer.OK
 }
 
 func (d *discoveryTest) publish(changes ...discovery.Endpoint) {
--- a/internal/emulator/hollow/draw.go
+++ b/internal/emulator/hollow/draw.go
@@ -5,7 +5,7 @@
 	"strconv"
 	"time"
 
-	"fernlanding/logic"
+	"baylock/balancer"
 )
 
 // The streams of random numbers that a Proxy draws from its seed, beside the module's own.
@@ -19,7 +19,7 @@
 // drawer draws calls by a Poisson process: classes evenly, tenants by their portions.
 type drawer struct {
 	name     string
-	settings logic.Settings
+	settings balancer.Settings
 	rate     float64 // calls a second
 	random   *rand.Rand
 	drawn    uint64
@@ -45,7 +45,7 @@
 	d.drawn++
 	c := Call{ID: d.name + "-" + strconv.FormatUint(d.drawn, 10), Class: d.random.IntN(len(d.settings.Classes)),
 		Tenant: d.tenant()}
-	if class := d.settings.Classes[c.Class]; class.Repeat == logic.Keyed || class.ByArrival {
+	if class := d.settings.Classes[c.Class]; class.Repeat == balancer.Keyed || class.ByArrival {
 		c.Key = "key-" + strconv.Itoa(d.random.IntN(drawnKeys))
 	}
 	return c
--- a/internal/emulator/hollow/hollow.go
+++ b/internal/emulator/hollow/hollow.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/logic"
+	"baylock/balancer"
+	"baylock/internal/discovery"
 )
 
 // Call is one call that a Proxy balances.
@@ -45,15 +45,15 @@
 // Upstream carries attempts to the backends.
 type Upstream interface {
 	// Attempt sends a call to a server and blocks until its outcome. Its context ends at the attempt's time-out, which is
-	// call.Deadline too, or when the attempt is given up; it then returns logic.Cancelled at once, and the Proxy tells the
+	// call.Deadline too, or when the attempt is given up; it then returns balancer.Cancelled at once, and the Proxy tells the
 	// two apart. Each Attempt is called on a goroutine of its own.
-	Attempt(ctx context.Context, server string, call Call) logic.Status
+	Attempt(ctx context.Context, server string, call Call) balancer.Status
 }
 
 // Config says what a Proxy is to be.
 type Config struct {
 	Name     string
-	Settings logic.Settings
+	Settings balancer.Settings
 	Zones    []string // the names of the zones that Settings number
 	Seed     uint64   // of all random draws
 
@@ -93,14 +93,14 @@
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	balancer, err := logic.New(cfg.Settings, cfg.Seed)
+	decisions, err := balancer.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
-	l := newLoop(cfg, balancer)
+	l := newLoop(cfg, decisions)
 	p := &Proxy{loop: l}
 	if cfg.Known != nil {
-		l.apply(logic.Cached, cfg.Known)
+		l.apply(balancer.Cached, cfg.Known)
 	}
 	if cfg.Discovery.Address != "" {
 		p.client = newClient(cfg, l)
--- a/internal/emulator/hollow/hollow_test.go
+++ b/internal/emulator/hollow/hollow_test.go
@@ -11,8 +11,8 @@
 	"testing/synctest"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/logic"
+	"baylock/balancer"
+	"baylock/internal/discovery"
 )
 
 // The classes of testSettings.
@@ -21,11 +21,11 @@
 	unsafeClass
 )
 
-func testSettings() logic.Settings {
-	return logic.Settings{Siblings: 1, Zones: 1, MaxAttempts: 3, StartCapacity: 0.2, Cold: 20_000_000,
-		Classes: []logic.Class{
-			{Aim: 500_000, Deadline: 1_500_000, Worth: 1, LateWorth: 0.5, Repeat: logic.Safe},
-			{Aim: 500_000, Deadline: 1_500_000, Worth: 1, LateWorth: 0.5, Repeat: logic.Unsafe},
+func testSettings() balancer.Settings {
+	return balancer.Settings{Siblings: 1, Zones: 1, MaxAttempts: 3, StartCapacity: 0.2, Cold: 20_000_000,
+		Classes: []balancer.Class{
+			{Aim: 500_000, Deadline: 1_500_000, Worth: 1, LateWorth: 0.5, Repeat: balancer.Safe},
+			{Aim: 500_000, Deadline: 1_500_000, Worth: 1, LateWorth: 0.5, Repeat: balancer.Unsafe},
 		}}
 }
 
@@ -40,16 +40,16 @@
 }
 
 // upstreamFunc is an Upstream.
-type upstreamFunc func(ctx context.Context, server string, call Call) logic.Status
+type upstreamFunc func(ctx context.Context, server string, call Call) balancer.Status
 
-func (f upstreamFunc) Attempt(ctx context.Context, server string, call Call) logic.Status {
+func (f upstreamFunc) Attempt(ctx context.Context, server string, call Call) balancer.Status {
 	return f(ctx, server, call)
 }
 
 // hang answers nothing.
-func hang(ctx context.Context, _ string, _ Call) logic.Status {
+func hang(ctx context.Context, _ string, _ Call) balancer.Status {
 	<-ctx.Done()
-	return logic.Cancelled
+	return balancer.Cancelled
 }
 
 // start runs a proxy until the test ends. To be called in a bubble of synctest.
@@ -70,9 +70,9 @@
 }
 
 func TestCallHasOneFinalAnswer(t *testing.T) {
-	answers := func(statuses ...logic.Status) upstreamFunc {
+	answers := func(statuses ...balancer.Status) upstreamFunc {
 		next := 0
-		return func(context.Context, string, Call) logic.Status {
+		return func(context.Context, string, Call) balancer.Status {
 			next++
 			return statuses[next-1]
 		}
@@ -84,10 +84,10 @@
 		call     Call
 		want     Result
 	}{
-		{"served", 1, answers(logic.OK), Call{}, Result{Outcome: Served, Attempts: 1}},
-		{"served by another", 2, answers(logic.ConnectFailed, logic.OK), Call{}, Result{Outcome: Served, Attempts: 2}},
+		{"served", 1, answers(balancer.OK), Call{}, Result{Outcome: Served, Attempts: 1}},
+		{"served by another", 2, answers(balancer.ConnectFailed, balancer.OK), Call{}, Result{Outcome: Served, Attempts: 2}},
 		{"no server", 0, answers(), Call{}, Result{Outcome: Refused}},
-		{"reset of an unsafe one", 2, answers(logic.Reset), Call{Class: unsafeClass}, Result{Attempts: 1}},
+		{"reset of an unsafe one", 2, answers(balancer.Reset), Call{Class: unsafeClass}, Result{Attempts: 1}},
 		{"unknown class", 1, answers(), Call{Class: 9}, Result{}},
 		{"no upstream", 2, nil, Call{Class: unsafeClass}, Result{Outcome: Refused}},
 	} {
@@ -121,12 +121,12 @@
 func TestAttemptKnowsItsTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var seen Call
-		upstream := upstreamFunc(func(ctx context.Context, _ string, call Call) logic.Status {
+		upstream := upstreamFunc(func(ctx context.Context, _ string, call Call) balancer.Status {
 			if end, _ := ctx.Deadline(); !end.Equal(call.Deadline) {
 				t.Errorf("the context ends at %v, the attempt at %v", end, call.Deadline)
 			}
 			seen = call
-			return logic.OK
+			return balancer.OK
 		})
 		p, stop := start(t, Config{Settings: testSettings(), Known: testList(1), Upstream: upstream, Seed: 1})
 		defer stop()
@@ -197,11 +197,11 @@
 func drawn(t *testing.T, seed uint64, rate float64, span time.Duration) (calls []Call) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := testSettings()
-		settings.Tenants = []logic.Tenant{{Portion: 3, Quota: 1e6}, {Portion: 1, Quota: 1e6}}
-		settings.Classes[unsafeClass].Repeat = logic.Keyed
-		upstream := upstreamFunc(func(context.Context, string, Call) logic.Status {
+		settings.Tenants = []balancer.Tenant{{Portion: 3, Quota: 1e6}, {Portion: 1, Quota: 1e6}}
+		settings.Classes[unsafeClass].Repeat = balancer.Keyed
+		upstream := upstreamFunc(func(context.Context, string, Call) balancer.Status {
 			time.Sleep(time.Millisecond)
-			return logic.OK
+			return balancer.OK
 		})
 		_, stop := start(t, Config{Settings: settings, Known: testList(8), Upstream: upstream, Seed: seed,
 			CallsPerSecond: rate, Answered: func(c Call, r Result) {
--- a/internal/emulator/hollow/loop.go
+++ b/internal/emulator/hollow/loop.go
@@ -6,9 +6,9 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/timing"
-	"fernlanding/logic"
+	"baylock/balancer"
+	"baylock/internal/discovery"
+	"baylock/internal/timing"
 )
 
 const (
@@ -30,8 +30,8 @@
 type event struct {
 	kind    eventKind
 	request *request
-	attempt *attempt     // of attemptEnded
-	status  logic.Status // of attemptEnded
+	attempt *attempt        // of attemptEnded
+	status  balancer.Status // of attemptEnded
 }
 
 // request is one call. Only call and answer are set before the loop has it.
@@ -56,10 +56,10 @@
 }
 
 // loop owns the Balancer and the table of requests. It tells the module all that happens, one event after the other,
-// and carries its decisions out as its logic.Host.
+// and carries its decisions out as its balancer.Host.
 type loop struct {
 	cfg      Config
-	balancer *logic.Balancer
+	balancer *balancer.Balancer
 	zones    discovery.Zones
 	clock    timing.Clock
 	drawer   *drawer
@@ -76,7 +76,7 @@
 	ctx      context.Context // of all attempts
 }
 
-func newLoop(cfg Config, balancer *logic.Balancer) *loop {
+func newLoop(cfg Config, balancer *balancer.Balancer) *loop {
 	return &loop{cfg: cfg, balancer: balancer, zones: discovery.NewZones(cfg.Zones), clock: timing.NewClock(),
 		drawer: newDrawer(cfg), events: make(chan event, eventBuffer), lists: make(chan discovery.Update),
 		watchRequests: make(chan struct{}, 1), done: make(chan struct{}), requests: map[string]*request{}}
@@ -150,7 +150,7 @@
 	for len(l.unsent) > 0 {
 		a := l.unsent[0]
 		l.unsent = l.unsent[1:]
-		l.outcome(a, logic.Moot)
+		l.outcome(a, balancer.Moot)
 	}
 }
 
@@ -182,12 +182,12 @@
 // list tells the module what a call to discovery brought.
 func (l *loop) list(update discovery.Update) {
 	if update.List == nil {
-		l.balancer.List(l.clock.Now(), l, logic.Failed, nil)
+		l.balancer.List(l.clock.Now(), l, balancer.Failed, nil)
 		return
 	}
-	kind := logic.Delta
+	kind := balancer.Delta
 	if update.List.Snapshot {
-		kind = logic.Full
+		kind = balancer.Full
 	}
 	l.apply(kind, update.List)
 	if l.cfg.Applied != nil {
@@ -195,7 +195,7 @@
 	}
 }
 
-func (l *loop) apply(kind logic.ListKind, list *discovery.List) {
+func (l *loop) apply(kind balancer.ListKind, list *discovery.List) {
 	l.balancer.List(l.clock.Now(), l, kind, l.zones.Servers(list.Endpoints))
 }
 
@@ -210,7 +210,7 @@
 	l.requests[r.call.ID] = r
 	r.expiry = timing.NewTimer(r.giveUp+expireAfter.Microseconds(), due{kind: requestExpiry, request: r})
 	l.timers.Add(r.expiry)
-	l.balancer.Request(now, l, logic.Request{ID: r.call.ID, Class: r.call.Class, Tenant: r.call.Tenant, Key: r.call.Key,
+	l.balancer.Request(now, l, balancer.Request{ID: r.call.ID, Class: r.call.Class, Tenant: r.call.Tenant, Key: r.call.Key,
 		GiveUp: r.giveUp})
 }
 
@@ -261,21 +261,21 @@
 }
 
 // outcome tells the module how an attempt ended; a served request has its answer first.
-func (l *loop) outcome(a *attempt, status logic.Status) {
+func (l *loop) outcome(a *attempt, status balancer.Status) {
 	r := a.request
 	if r.current == a {
 		r.current = nil
 	}
-	if status == logic.OK {
+	if status == balancer.OK {
 		l.end(r, Result{Outcome: Served})
 	}
 	now := l.clock.Now()
-	l.balancer.Outcome(now, l, logic.Outcome{ID: r.call.ID, Attempt: a.number, Status: status, Took: now - a.sent,
+	l.balancer.Outcome(now, l, balancer.Outcome{ID: r.call.ID, Attempt: a.number, Status: status, Took: now - a.sent,
 		Closed: r.over})
 	l.forget(r)
 }
 
-// Send implements logic.Host. The time lapse, by which a repeat's last byte has to reach the server, needs no care:
+// Send implements balancer.Host. The time lapse, by which a repeat's last byte has to reach the server, needs no care:
 // an attempt goes out at once.
 func (l *loop) Send(id, server string, timeout, _ int64) {
 	r := l.requests[id]
@@ -307,33 +307,33 @@
 	l.attempts.Go(func() {
 		defer stop()
 		status := l.cfg.Upstream.Attempt(ctx, server, call)
-		if status == logic.Cancelled && ctx.Err() == context.DeadlineExceeded {
-			status = logic.TimedOut
+		if status == balancer.Cancelled && ctx.Err() == context.DeadlineExceeded {
+			status = balancer.TimedOut
 		}
 		l.post(context.Background(), event{kind: attemptEnded, attempt: a, status: status})
 	})
 }
 
-// Refuse implements logic.Host.
+// Refuse implements balancer.Host.
 func (l *loop) Refuse(id string, after int64) {
 	if r := l.requests[id]; r != nil {
 		l.end(r, Result{Outcome: Refused, RetryAfter: time.Duration(after) * time.Microsecond})
 	}
 }
 
-// Fail implements logic.Host.
+// Fail implements balancer.Host.
 func (l *loop) Fail(id string) {
 	if r := l.requests[id]; r != nil {
 		l.end(r, Result{})
 	}
 }
 
-// SetTimer implements logic.Host.
+// SetTimer implements balancer.Host.
 func (l *loop) SetTimer(delay int64, token string) {
 	l.timers.Add(timing.NewTimer(l.clock.Now()+delay, due{kind: moduleTimer, token: token}))
 }
 
-// Watch implements logic.Host. Where the list is pushed the watch stands anyway.
+// Watch implements balancer.Host. Where the list is pushed the watch stands anyway.
 func (l *loop) Watch() {
 	select {
 	case l.watchRequests <- struct{}{}:
@@ -341,5 +341,5 @@
 	}
 }
 
-// Log implements logic.Host. The module's reports of a thousand proxies are of no use.
+// Log implements balancer.Host. The module's reports of a thousand proxies are of no use.
 func (l *loop) Log(string) {}
--- a/internal/emulator/registry/capacity_test.go
+++ b/internal/emulator/registry/capacity_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"fernlanding/internal/discovery"
+	"baylock/internal/discovery"
 )
 
 // result is how one of several calls made at once went.
--- a/internal/emulator/registry/faults_test.go
+++ b/internal/emulator/registry/faults_test.go
@@ -13,7 +13,7 @@
 	"testing/synctest"
 	"time"
 
-	"fernlanding/internal/discovery"
+	"baylock/internal/discovery"
 )
 
 // told is how long after the service has a change every client that it reaches has to have it.
--- a/internal/emulator/registry/handler.go
+++ b/internal/emulator/registry/handler.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	"fernlanding/internal/discovery"
+	"baylock/internal/discovery"
 )
 
 // maxHold is the longest that a watch may wait.
--- a/internal/emulator/registry/handler_test.go
+++ b/internal/emulator/registry/handler_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"fernlanding/internal/discovery"
+	"baylock/internal/discovery"
 )
 
 var inEast = Location{Name: "in-a", Zone: "a", Region: "east"}
--- a/internal/emulator/registry/helpers_test.go
+++ b/internal/emulator/registry/helpers_test.go
@@ -14,7 +14,7 @@
 	"testing/synctest"
 	"time"
 
-	"fernlanding/internal/discovery"
+	"baylock/internal/discovery"
 )
 
 const (
--- a/internal/emulator/registry/listen.go
+++ b/internal/emulator/registry/listen.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"fernlanding/internal/discovery"
+	"baylock/internal/discovery"
 )
 
 // acceptRetry is the wait after a connection that could not be accepted, as where descriptors run short.
--- a/internal/emulator/registry/listen_test.go
+++ b/internal/emulator/registry/listen_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
+	"baylock/internal/discovery"
 )
 
 // dialTCP is a dialer to a listener's address.
--- a/internal/emulator/registry/log.go
+++ b/internal/emulator/registry/log.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 	"slices"
 
-	"fernlanding/internal/discovery"
+	"baylock/internal/discovery"
 )
 
 // A version is the number of a replica's start and, in its low bits, the sequence number of the list's last log entry.
--- a/internal/emulator/registry/replication.go
+++ b/internal/emulator/registry/replication.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"fernlanding/internal/discovery"
+	"baylock/internal/discovery"
 )
 
 // delivery is what is under way between replicas: one change, or with no origin an exchange of all that each has.
--- a/internal/emulator/registry/service.go
+++ b/internal/emulator/registry/service.go
@@ -22,7 +22,7 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/discovery"
+	"baylock/internal/discovery"
 )
 
 const (
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -8,7 +8,7 @@
 	"regexp"
 	"time"
 
-	"fernlanding/logic"
+	"baylock/balancer"
 )
 
 const (
@@ -75,7 +75,7 @@
 		return res, false, errors.New("read answer: length not given")
 	}
 	if resp.ContentLength > maxBody {
-		return result{status: logic.Error}, false, nil
+		return result{status: balancer.Error}, false, nil
 	}
 	body, whole, err := hold(resp.Body, resp.ContentLength, a.req.lease, time.Now().Add(answerStall))
 	if err != nil {
@@ -87,17 +87,17 @@
 	keep = whole && !resp.Close && c.r.Buffered() == 0
 	switch resp.StatusCode {
 	case http.StatusOK:
-		return result{status: logic.OK, body: body, content: resp.Header.Get("Content-Type")}, keep, nil
+		return result{status: balancer.OK, body: body, content: resp.Header.Get("Content-Type")}, keep, nil
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		// With anything behind it the answer is not one that can be believed.
 		if resp.Header.Get("Not-Started") == "1" && c.r.Buffered() == 0 {
-			return result{status: logic.FullUp}, keep, nil
+			return result{status: balancer.FullUp}, keep, nil
 		}
 	}
 	if c := resp.StatusCode; c >= 400 && c < 500 && c != http.StatusRequestTimeout && c != http.StatusTooManyRequests {
-		return result{status: logic.Error, fault: c}, keep, nil
+		return result{status: balancer.Error, fault: c}, keep, nil
 	}
-	return result{status: logic.Error}, keep, nil // it may have run
+	return result{status: balancer.Error}, keep, nil // it may have run
 }
 
 // pass has an answer passed on as it comes. Its time was that of its first bytes; from here on only a rest ends it.
@@ -111,5 +111,5 @@
 	case <-a.ctx.Done():
 		err = a.ctx.Err()
 	}
-	return result{status: logic.OK}, err == nil && !resp.Close && c.r.Buffered() == 0, nil
+	return result{status: balancer.OK}, err == nil && !resp.Close && c.r.Buffered() == 0, nil
 }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"fernlanding/logic"
+	"baylock/balancer"
 )
 
 // attempt is one Send of the module on its way.
@@ -33,7 +33,7 @@
 
 // result is how an attempt ended.
 type result struct {
-	status  logic.Status
+	status  balancer.Status
 	fault   int    // the request makes no sense, whoever gets it, or its client has broken off: the answer; else 0
 	left    bool   // the client had left before anything was sent
 	unused  bool   // the connection had ended or said something before anything was sent on it
@@ -47,7 +47,7 @@
 	res := a.try()
 	if u := a.req.rest; u != nil {
 		res.spent = u.used.Load()
-		if err := u.failure(); res.spent && err != nil && a.ctx.Err() == nil && res.status != logic.OK {
+		if err := u.failure(); res.spent && err != nil && a.ctx.Err() == nil && res.status != balancer.OK {
 			res.fault = http.StatusBadRequest
 			if errors.Is(err, errTooLong) {
 				res.fault = http.StatusRequestEntityTooLarge
@@ -67,9 +67,9 @@
 			var err error
 			if c, err = a.connect(); err != nil {
 				if a.ctx.Err() != nil || a.lapsed() || errors.Is(err, errNoSockets) {
-					return result{status: logic.Moot} // stopped before anything was sent, or no fault of the backend's
+					return result{status: balancer.Moot} // stopped before anything was sent, or no fault of the backend's
 				}
-				return result{status: logic.ConnectFailed}
+				return result{status: balancer.ConnectFailed}
 			}
 		}
 		reused := c.idled > 0 // asked now: once it is back in the pool another attempt may take it
@@ -93,7 +93,7 @@
 		return res, false
 	}
 	if !quiet(c.Conn) {
-		return result{status: logic.ConnectFailed, unused: true}, false
+		return result{status: balancer.ConnectFailed, unused: true}, false
 	}
 	c.used = true
 	return result{}, true
@@ -104,10 +104,10 @@
 // is sent for a client that has left.
 func (a *attempt) due() (result, bool) {
 	if a.ctx.Err() != nil || a.late() || a.lapsed() || !a.pool.current(a.backend, a.epoch) {
-		return result{status: logic.Moot}, false
+		return result{status: balancer.Moot}, false
 	}
 	if a.req.left() {
-		return result{status: logic.Moot, left: true}, false
+		return result{status: balancer.Moot, left: true}, false
 	}
 	return result{}, true
 }
--- a/internal/proxy/body_test.go
+++ b/internal/proxy/body_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/settings"
+	"baylock/internal/discovery"
+	"baylock/internal/settings"
 )
 
 // text is a body whose every part differs.
--- a/internal/proxy/console.go
+++ b/internal/proxy/console.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"fernlanding/logic"
+	"baylock/balancer"
 )
 
 const (
@@ -222,7 +222,7 @@
 	default:
 		return
 	}
-	var learned logic.Learned
+	var learned balancer.Learned
 	err := p.loop.do(ctx, func() { learned = p.loop.bal.Learned() })
 	if err == nil {
 		err = p.shared.note(learned)
--- a/internal/proxy/console_test.go
+++ b/internal/proxy/console_test.go
@@ -17,9 +17,9 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/settings"
-	"fernlanding/logic"
+	"baylock/balancer"
+	"baylock/internal/discovery"
+	"baylock/internal/settings"
 )
 
 // startWithConsole starts a proxy that operators can call, in a folder that it may share with others; listen is the
@@ -585,8 +585,8 @@
 	d, dir := startDiscovery(t), t.TempDir()
 	entry := listed("a", b.addr, discovery.Serving)
 	old := startWithConsole(t, dir, "127.0.0.1:0", d.addr, entry)
-	learned := func(p *running) logic.Learned {
-		got := make(chan logic.Learned, 1)
+	learned := func(p *running) balancer.Learned {
+		got := make(chan balancer.Learned, 1)
 		p.loop.post(func() { got <- p.loop.bal.Learned() })
 		return wait(t, "word of the loop", got)
 	}
--- a/internal/proxy/crowd_test.go
+++ b/internal/proxy/crowd_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
+	"baylock/internal/discovery"
 )
 
 // Idle clients hold all the descriptors that clients may have, and more of them come, while discovery is down: requests,
--- a/internal/proxy/ending_test.go
+++ b/internal/proxy/ending_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
+	"baylock/internal/discovery"
 )
 
 // one is the one connection of a client that the proxy has.
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"fernlanding/logic"
+	"baylock/balancer"
 )
 
 // exchange writes the request and reads the answer; keep tells whether the connection can serve again.
@@ -32,7 +32,7 @@
 	if a.req.rest == nil {
 		var err error
 		if head, err = a.encode(); err != nil {
-			return result{status: logic.Moot}, true
+			return result{status: balancer.Moot}, true
 		}
 	}
 	var written time.Time
@@ -47,7 +47,7 @@
 		written = time.Now()
 		if _, err := c.Write(head); err != nil {
 			// The last byte was not written, so the backend cannot have begun.
-			return result{status: logic.ConnectFailed}, false
+			return result{status: balancer.ConnectFailed}, false
 		}
 	}
 	res, keep, err := a.read(c)
@@ -55,21 +55,21 @@
 	case err == nil:
 		return res, keep
 	case a.ctx.Err() != nil && !a.late():
-		return result{status: logic.Cancelled}, false
+		return result{status: balancer.Cancelled}, false
 	case a.late():
-		return result{status: logic.TimedOut}, false
+		return result{status: balancer.TimedOut}, false
 	}
 	if c.idled > 0 && errors.Is(err, errNoAnswer) && time.Since(written) < a.pool.staleWithin {
 		a.pool.stale(c)
 	}
-	return result{status: logic.Reset}, false
+	return result{status: balancer.Reset}, false
 }
 
 // send passes a request on while its client writes it. ok tells whether an answer is to be read: all of the request
 // has gone out. Before that a backend can only turn it away.
 func (a *attempt) send(c *conn) (res result, ok bool) {
 	a.req.rest.resume()
-	w := &stalling{a: a, c: c, said: make(chan bool, 1), none: result{status: logic.Moot}}
+	w := &stalling{a: a, c: c, said: make(chan bool, 1), none: result{status: balancer.Moot}}
 	_ = c.SetReadDeadline(time.Time{})
 	err := a.out(io.MultiReader(bytes.NewReader(a.req.body), a.req.rest)).Write(w)
 	now := time.Now()
@@ -84,7 +84,7 @@
 		}
 		<-w.said              // the answer, or the end of the wait for it
 		if w.stopped.Load() { // too late: the request is whole, and that word was not the answer to it
-			return result{status: logic.Reset}, false
+			return result{status: balancer.Reset}, false
 		}
 		return res, true
 	}
@@ -94,14 +94,14 @@
 	}
 	said := <-w.said
 	if !w.short && a.req.rest.complete() { // nothing proves that the last byte has not gone out
-		return result{status: logic.Reset}, false
+		return result{status: balancer.Reset}, false
 	}
 	if !said || a.ctx.Err() != nil {
-		return result{status: logic.ConnectFailed}, false
+		return result{status: balancer.ConnectFailed}, false
 	}
 	res, _, err = a.read(c)
-	if err != nil || res.status == logic.OK { // nobody can have served what has not come whole
-		return result{status: logic.ConnectFailed}, false
+	if err != nil || res.status == balancer.OK { // nobody can have served what has not come whole
+		return result{status: balancer.ConnectFailed}, false
 	}
 	return res, false
 }
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/logic"
+	"baylock/balancer"
+	"baylock/internal/discovery"
 )
 
 const patience = 20 * time.Second // for what must happen
@@ -122,7 +122,7 @@
 }
 
 func newAttempt(p *backends, name string, left time.Duration) *attempt {
-	a := &attempt{pool: p, deadline: time.Now().Add(left), req: &request{Request: logic.Request{ID: "1"},
+	a := &attempt{pool: p, deadline: time.Now().Add(left), req: &request{Request: balancer.Request{ID: "1"},
 		method: http.MethodGet, uri: "/look/k%2f1?x=%20y", host: "backend.local",
 		header: http.Header{"Request-Id": {"1"}, "User-Agent": {""}}, left: func() bool { return false }}}
 	a.backend, a.addr, a.epoch, _ = p.find(name)
@@ -134,45 +134,45 @@
 func TestOutcomeTable(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
-		want       logic.Status
+		want       balancer.Status
 	}{
-		{"served", served, logic.OK},
-		{"served in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", logic.OK},
-		{"early word first", "HTTP/1.1 100 Continue\r\n\r\n" + served, logic.OK},
-		{"error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", logic.Error},
-		{"an error is never full", "HTTP/1.1 500 Oops\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", logic.Error},
-		{"not found", "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", logic.Error},
-		{"full", "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", logic.FullUp},
-		{"over already", "HTTP/1.1 504 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", logic.FullUp},
-		{"503 without the proof", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", logic.Error},
-		{"504 without the proof", "HTTP/1.1 504 No\r\nNot-Started: 0\r\nContent-Length: 0\r\n\r\n", logic.Error},
-		{"closed", "", logic.Reset},
-		{"half a head", "HTTP/1.1 200 OK\r\nContent-", logic.Reset},
-		{"half a body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", logic.Reset},
-		{"half a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok", logic.Reset},
-		{"no length", "HTTP/1.1 200 OK\r\n\r\nok", logic.Reset},
-		{"too long", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", maxBody+1), logic.Error},
-		{"no HTTP", "SSH-2.0-x\r\n\r\n", logic.Reset},
-		{"noise", "\xfai\x19\xce\xea\r\n\r\n", logic.Reset},
-		{"no status", "HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nok", logic.Reset},
-		{"no colon", "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nok", logic.Reset},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nok", logic.Reset},
-		{"negative length", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nok", logic.Reset},
-		{"two framings", "HTTP/1.1 200 OK\r\ncontent-length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", logic.Reset},
-		{"bad chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\nzz\r\n", logic.Reset},
-		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 1<<20), logic.Error},
-		{"head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: pppp\r\n", 1<<16), logic.Reset},
-		{"early words without end", strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n", 1000), logic.Reset},
-		{"spoilt proof", "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 9\r\n\r\nx", logic.Reset},
-		{"two early words", "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + served, logic.OK},
-		{"load that can't be read", "HTTP/1.1 200 OK\r\nServer-Load: =,=\r\nContent-Length: 2\r\n\r\nok", logic.OK},
-		{"noise behind", served + "\xfai\x19\xce", logic.OK},
+		{"served", served, balancer.OK},
+		{"served in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", balancer.OK},
+		{"early word first", "HTTP/1.1 100 Continue\r\n\r\n" + served, balancer.OK},
+		{"error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", balancer.Error},
+		{"an error is never full", "HTTP/1.1 500 Oops\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", balancer.Error},
+		{"not found", "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", balancer.Error},
+		{"full", "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", balancer.FullUp},
+		{"over already", "HTTP/1.1 504 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", balancer.FullUp},
+		{"503 without the proof", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", balancer.Error},
+		{"504 without the proof", "HTTP/1.1 504 No\r\nNot-Started: 0\r\nContent-Length: 0\r\n\r\n", balancer.Error},
+		{"closed", "", balancer.Reset},
+		{"half a head", "HTTP/1.1 200 OK\r\nContent-", balancer.Reset},
+		{"half a body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", balancer.Reset},
+		{"half a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok", balancer.Reset},
+		{"no length", "HTTP/1.1 200 OK\r\n\r\nok", balancer.Reset},
+		{"too long", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", maxBody+1), balancer.Error},
+		{"no HTTP", "SSH-2.0-x\r\n\r\n", balancer.Reset},
+		{"noise", "\xfai\x19\xce\xea\r\n\r\n", balancer.Reset},
+		{"no status", "HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nok", balancer.Reset},
+		{"no colon", "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nok", balancer.Reset},
+		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nok", balancer.Reset},
+		{"negative length", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nok", balancer.Reset},
+		{"two framings", "HTTP/1.1 200 OK\r\ncontent-length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", balancer.Reset},
+		{"bad chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\nzz\r\n", balancer.Reset},
+		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 1<<20), balancer.Error},
+		{"head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: pppp\r\n", 1<<16), balancer.Reset},
+		{"early words without end", strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n", 1000), balancer.Reset},
+		{"spoilt proof", "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 9\r\n\r\nx", balancer.Reset},
+		{"two early words", "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + served, balancer.OK},
+		{"load that can't be read", "HTTP/1.1 200 OK\r\nServer-Load: =,=\r\nContent-Length: 2\r\n\r\nok", balancer.OK},
+		{"noise behind", served + "\xfai\x19\xce", balancer.OK},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := startBackend(t, says(c.text, false))
 			p := poolWith(4, b.addr)
 			res := newAttempt(p, "a", patience).run()
-			if res.status != c.want || c.want == logic.OK && string(res.body) != "ok" {
+			if res.status != c.want || c.want == balancer.OK && string(res.body) != "ok" {
 				t.Errorf("got %v %q, want %v", res.status, res.body, c.want)
 			}
 			if n := b.requests.Load(); n != 1 {
@@ -193,7 +193,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := startBackend(t, says(text, true))
 			p := poolWith(4, b.addr)
-			if res := newAttempt(p, "a", time.Hour).run(); res.status != logic.Reset {
+			if res := newAttempt(p, "a", time.Hour).run(); res.status != balancer.Reset {
 				t.Errorf("got %v", res.status)
 			}
 			wait(t, "close", b.closed)
@@ -223,7 +223,7 @@
 			p := poolWith(100, b.addr)
 			for n := range 60 {
 				res := newAttempt(p, "a", patience).run()
-				if res.status != logic.OK || string(res.body) != fmt.Sprintf("%04d", n+1) {
+				if res.status != balancer.OK || string(res.body) != fmt.Sprintf("%04d", n+1) {
 					t.Fatalf("request %d: got %v %q", n+1, res.status, res.body)
 				}
 			}
@@ -238,7 +238,7 @@
 	}
 	l.Close()
 	p := poolWith(4, l.Addr().String())
-	if res := newAttempt(p, "a", patience).run(); res.status != logic.ConnectFailed {
+	if res := newAttempt(p, "a", patience).run(); res.status != balancer.ConnectFailed {
 		t.Errorf("got %v", res.status)
 	}
 	if p.open != 0 {
@@ -249,7 +249,7 @@
 func TestAHungBackendTimesOutAndLosesItsConnection(t *testing.T) {
 	b := startBackend(t, hang(t))
 	p := poolWith(4, b.addr)
-	if res := newAttempt(p, "a", 50*time.Millisecond).run(); res.status != logic.TimedOut {
+	if res := newAttempt(p, "a", 50*time.Millisecond).run(); res.status != balancer.TimedOut {
 		t.Errorf("got %v", res.status)
 	}
 	if p.open != 0 || len(p.byName["a"].idle) != 0 {
@@ -272,7 +272,7 @@
 	go func() { results <- a.run() }()
 	wait(t, "request", came)
 	a.stop()
-	if res := wait(t, "result", results); res.status != logic.Cancelled {
+	if res := wait(t, "result", results); res.status != balancer.Cancelled {
 		t.Errorf("got %v", res.status)
 	}
 	if err := wait(t, "end of the connection", gone); err == nil {
@@ -285,7 +285,7 @@
 	b := startBackend(t, says(served, false)) // promises to stay, then closes
 	p := poolWith(4, b.addr)
 	for n := range 3 {
-		if res := newAttempt(p, "a", patience).run(); res.status != logic.OK {
+		if res := newAttempt(p, "a", patience).run(); res.status != balancer.OK {
 			t.Fatalf("attempt %d: got %v", n, res.status)
 		}
 		wait(t, "close", b.closed)
@@ -333,11 +333,11 @@
 		return n == 1
 	})
 	p := poolWith(4, b.addr)
-	if res := newAttempt(p, "a", patience).run(); res.status != logic.OK {
+	if res := newAttempt(p, "a", patience).run(); res.status != balancer.OK {
 		t.Fatalf("got %v", res.status)
 	}
 	rested(p)
-	if res := newAttempt(p, "a", patience).run(); res.status != logic.Reset {
+	if res := newAttempt(p, "a", patience).run(); res.status != balancer.Reset {
 		t.Errorf("got %v", res.status)
 	}
 	if b.requests.Load() != 2 || b.conns.Load() != 1 {
@@ -369,34 +369,34 @@
 	})
 	p := poolWith(4, b.addr)
 	p.staleWithin = patience
-	send := func(want logic.Status, conns int32) {
+	send := func(want balancer.Status, conns int32) {
 		t.Helper()
 		if res := newAttempt(p, "a", patience).run(); res.status != want || b.conns.Load() != conns {
 			t.Fatalf("got %v on connection %d, want %v on %d", res.status, b.conns.Load(), want, conns)
 		}
 	}
-	send(logic.OK, 1)
+	send(balancer.OK, 1)
 	aged(p, 2*time.Second)
-	send(logic.OK, 1) // nothing speaks against it yet
+	send(balancer.OK, 1) // nothing speaks against it yet
 	aged(p, 2*time.Second)
 	drop.Store(true)
-	send(logic.Reset, 1)
-	send(logic.OK, 2)
+	send(balancer.Reset, 1)
+	send(balancer.OK, 2)
 	aged(p, 1500*time.Millisecond)
-	send(logic.OK, 3) // the old one is not tried
+	send(balancer.OK, 3) // the old one is not tried
 	aged(p, 500*time.Millisecond)
-	send(logic.OK, 3)
+	send(balancer.OK, 3)
 	for range 100 { // with no further evidence trust comes back
 		p.sweep(time.Now())
 	}
 	aged(p, 2*time.Second)
-	send(logic.OK, 3)
+	send(balancer.OK, 3)
 	p.advanceEpoch(p.byName["a"]) // closes what is idle
 	drop.Store(true)
-	send(logic.Reset, 4) // a new connection's reset says nothing of idle ones
-	send(logic.OK, 5)
+	send(balancer.Reset, 4) // a new connection's reset says nothing of idle ones
+	send(balancer.OK, 5)
 	aged(p, 2*time.Second)
-	send(logic.OK, 5)
+	send(balancer.OK, 5)
 }
 
 func TestTheMostRecentConnectionIsUsedFirstAndOldOnesAreClosed(t *testing.T) {
@@ -460,7 +460,7 @@
 				meanwhile(p, a)
 				return c, err
 			}
-			if res := a.run(); res.status != logic.Moot {
+			if res := a.run(); res.status != balancer.Moot {
 				t.Errorf("got %v", res.status)
 			}
 			p.apply(true, nil) // closes what is idle
@@ -475,7 +475,7 @@
 func TestAtTheSocketLimitAnIdleConnectionMakesRoomOrNoneIsOpened(t *testing.T) {
 	quick, slow := startBackend(t, says(served, true)), startBackend(t, hang(t))
 	p := poolWith(1, quick.addr, slow.addr)
-	if res := newAttempt(p, "a", patience).run(); res.status != logic.OK {
+	if res := newAttempt(p, "a", patience).run(); res.status != balancer.OK {
 		t.Fatalf("got %v", res.status)
 	}
 	held := newAttempt(p, "b", patience)
@@ -483,12 +483,12 @@
 	go func() { results <- held.run() }()
 	wait(t, "close of the idle connection", quick.closed)
 	waitUntil(t, func() bool { return slow.requests.Load() == 1 })
-	if res := newAttempt(p, "a", patience).run(); res.status != logic.Moot {
+	if res := newAttempt(p, "a", patience).run(); res.status != balancer.Moot {
 		t.Errorf("over the limit: got %v", res.status)
 	}
 	held.stop()
 	wait(t, "result", results)
-	if res := newAttempt(p, "a", patience).run(); res.status != logic.OK {
+	if res := newAttempt(p, "a", patience).run(); res.status != balancer.OK {
 		t.Errorf("with room again: got %v", res.status)
 	}
 }
@@ -496,7 +496,7 @@
 func TestADialErrorThatIsNoRefusalIsAConnectFailureToo(t *testing.T) {
 	p := poolWith(4, "127.0.0.1:1")
 	p.dialer = func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("too many open files") }
-	if res := newAttempt(p, "a", patience).run(); res.status != logic.ConnectFailed || p.open != 0 {
+	if res := newAttempt(p, "a", patience).run(); res.status != balancer.ConnectFailed || p.open != 0 {
 		t.Errorf("got %v with %d open", res.status, p.open)
 	}
 }
@@ -517,7 +517,7 @@
 		c, err := dial(ctx, network, addr)
 		return shortConn{c.(*net.TCPConn)}, err
 	}
-	if res := newAttempt(p, "a", patience).run(); res.status != logic.ConnectFailed {
+	if res := newAttempt(p, "a", patience).run(); res.status != balancer.ConnectFailed {
 		t.Errorf("got %v", res.status)
 	}
 }
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"fernlanding/logic"
+	"baylock/balancer"
 )
 
 const (
@@ -246,14 +246,14 @@
 		return bad(http.StatusBadRequest, "no Request-Id, or a long one")
 	}
 	k, method := now.logic.Classes[class], http.MethodPost
-	if k.Repeat == logic.Safe {
+	if k.Repeat == balancer.Safe {
 		method = http.MethodGet
 	}
 	if r.Method != method {
 		w.Header().Set("Allow", method)
 		return bad(http.StatusMethodNotAllowed, "wrong method for the class")
 	}
-	if keyed := r.Header.Get("Idempotency-Key") != ""; keyed != (k.Repeat == logic.Keyed) {
+	if keyed := r.Header.Get("Idempotency-Key") != ""; keyed != (k.Repeat == balancer.Keyed) {
 		return bad(http.StatusBadRequest, "Idempotency-Key does not fit the class")
 	}
 	ms, err := strconv.ParseInt(r.Header.Get("Request-Timeout-Ms"), 10, 64)
@@ -284,7 +284,7 @@
 	req.wait = wait - min(answerMargin, wait/marginPart)
 	req.header = passOn(r.Header)
 	req.came = f.loop.clock.Now()
-	req.Request = logic.Request{ID: id, Class: class, Tenant: tenant, Key: rest[strings.LastIndexByte(rest, '/')+1:],
+	req.Request = balancer.Request{ID: id, Class: class, Tenant: tenant, Key: rest[strings.LastIndexByte(rest, '/')+1:],
 		GiveUp: f.loop.clock.At(time.Now().Add(req.wait)), Streamed: req.rest != nil}
 	return req, answer{}
 }
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/logic"
+	"baylock/balancer"
 )
 
 // lateDialer holds its first dial back until released, and counts all.
@@ -40,7 +40,7 @@
 	b := startBackend(t, says(served, true))
 	p := poolWith(4, b.addr)
 	d := withLateDialer(p)
-	if res := newAttempt(p, "a", patience).run(); res.status != logic.OK {
+	if res := newAttempt(p, "a", patience).run(); res.status != balancer.OK {
 		t.Fatalf("got %v", res.status)
 	}
 	if n := b.requests.Load(); n != 1 {
@@ -67,7 +67,7 @@
 	go func() { results <- newAttempt(p, "a", patience).run() }()
 	waitUntil(t, func() bool { return d.dials.Load() == 1 })
 	p.keep(c)
-	if res := wait(t, "answer", results); res.status != logic.OK {
+	if res := wait(t, "answer", results); res.status != balancer.OK {
 		t.Fatalf("got %v", res.status)
 	}
 	if n := d.dials.Load(); n != 1 {
@@ -85,7 +85,7 @@
 	go func() { results <- a.run() }()
 	waitUntil(t, func() bool { return d.dials.Load() == 1 })
 	a.stop()
-	if res := wait(t, "end", results); res.status != logic.Moot {
+	if res := wait(t, "end", results); res.status != balancer.Moot {
 		t.Errorf("got %v", res.status)
 	}
 	p.mu.Lock()
@@ -106,7 +106,7 @@
 		}
 		return nil, errors.New("connection refused")
 	}
-	if res := newAttempt(p, "a", patience).run(); res.status != logic.ConnectFailed {
+	if res := newAttempt(p, "a", patience).run(); res.status != balancer.ConnectFailed {
 		t.Errorf("got %v", res.status)
 	}
 }
--- a/internal/proxy/leaving_test.go
+++ b/internal/proxy/leaving_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/settings"
+	"baylock/internal/discovery"
+	"baylock/internal/settings"
 )
 
 // startSite starts a proxy with the test settings, of which pairs of texts are replaced; adjust may change it before it
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -9,9 +9,9 @@
 	"sync/atomic"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/timing"
-	"fernlanding/logic"
+	"baylock/balancer"
+	"baylock/internal/discovery"
+	"baylock/internal/timing"
 )
 
 const (
@@ -24,7 +24,7 @@
 // request is one request that a client has handed over. The fields above answer are set before the loop
 // gets it; those below belong to the loop.
 type request struct {
-	logic.Request
+	balancer.Request
 	method string
 	uri    string // path and query as they came
 	host   string
@@ -61,9 +61,9 @@
 }
 
 // loop owns the Balancer and the table of requests. All that happens comes to it through channels and is
-// told to the module in that order; it carries the module's decisions out as its logic.Host.
+// told to the module in that order; it carries the module's decisions out as its balancer.Host.
 type loop struct {
-	bal    *logic.Balancer
+	bal    *balancer.Balancer
 	clock  timing.Clock
 	pool   *backends
 	zones  discovery.Zones
@@ -87,7 +87,7 @@
 	done     chan struct{}   // closed when the loop has ended
 }
 
-func newLoop(bal *logic.Balancer, c timing.Clock, pool *backends, z discovery.Zones, log *slog.Logger) *loop {
+func newLoop(bal *balancer.Balancer, c timing.Clock, pool *backends, z discovery.Zones, log *slog.Logger) *loop {
 	return &loop{bal: bal, clock: c, pool: pool, zones: z, log: log, events: make(chan func(), 256),
 		lists: make(chan discovery.Update), asked: make(chan struct{}, 1), listed: make(chan struct{}), told: make(chan struct{}),
 		reqs: map[string]*request{}, done: make(chan struct{})}
@@ -145,7 +145,7 @@
 	for len(l.unsent) > 0 {
 		a := l.unsent[0]
 		l.unsent = l.unsent[1:]
-		l.outcome(a, result{status: logic.Moot})
+		l.outcome(a, result{status: balancer.Moot})
 	}
 }
 
@@ -164,13 +164,13 @@
 
 // list applies what discovery said, to the connections first and then to the module.
 func (l *loop) list(u discovery.Update) {
-	kind := logic.Delta
+	kind := balancer.Delta
 	if u.List == nil {
-		l.bal.List(l.clock.Now(), l, logic.Failed, nil)
+		l.bal.List(l.clock.Now(), l, balancer.Failed, nil)
 		return
 	}
 	if u.List.Snapshot {
-		kind = logic.Full
+		kind = balancer.Full
 	}
 	l.apply(kind, u.List)
 	l.settle()
@@ -199,13 +199,13 @@
 	l.out = out
 }
 
-func (l *loop) apply(kind logic.ListKind, list *discovery.List) {
-	l.pool.apply(kind != logic.Delta, list.Endpoints)
+func (l *loop) apply(kind balancer.ListKind, list *discovery.List) {
+	l.pool.apply(kind != balancer.Delta, list.Endpoints)
 	l.bal.List(l.clock.Now(), l, kind, l.zones.Servers(list.Endpoints))
 	select {
 	case <-l.listed:
 	default:
-		if kind == logic.Full || len(list.Endpoints) > 0 {
+		if kind == balancer.Full || len(list.Endpoints) > 0 {
 			close(l.listed)
 		}
 	}
@@ -281,7 +281,7 @@
 	a.began = true
 	l.end(r, answer{status: http.StatusOK, content: d.content, stream: d})
 	now := l.clock.Now()
-	l.bal.Outcome(now, l, logic.Outcome{ID: r.ID, Attempt: a.number, Status: logic.OK, Took: now - a.sent, Closed: true})
+	l.bal.Outcome(now, l, balancer.Outcome{ID: r.ID, Attempt: a.number, Status: balancer.OK, Took: now - a.sent, Closed: true})
 }
 
 // withdraw ends a request that nobody waits for any more, and its attempt.
@@ -326,7 +326,7 @@
 		l.forget(r)
 		return
 	}
-	if res.status == logic.OK {
+	if res.status == balancer.OK {
 		l.end(r, answer{status: http.StatusOK, body: res.body, content: res.content})
 	}
 	if res.left {
@@ -335,15 +335,15 @@
 	if res.fault != 0 {
 		// The client's fault is no evidence against the backend, and another would say the same.
 		l.end(r, answer{status: res.fault})
-		res.status = logic.Moot
+		res.status = balancer.Moot
 	}
 	now := l.clock.Now()
-	l.bal.Outcome(now, l, logic.Outcome{ID: r.ID, Attempt: a.number, Status: res.status, Took: now - a.sent,
+	l.bal.Outcome(now, l, balancer.Outcome{ID: r.ID, Attempt: a.number, Status: res.status, Took: now - a.sent,
 		Closed: r.over, Spent: res.spent})
 	l.forget(r)
 }
 
-// Send implements logic.Host.
+// Send implements balancer.Host.
 func (l *loop) Send(id, server string, timeout, lapse int64) {
 	r := l.reqs[id]
 	if r == nil {
@@ -383,26 +383,26 @@
 	}()
 }
 
-// Refuse implements logic.Host.
+// Refuse implements balancer.Host.
 func (l *loop) Refuse(id string, after int64) {
 	if r := l.reqs[id]; r != nil {
 		l.end(r, answer{status: http.StatusServiceUnavailable, after: after})
 	}
 }
 
-// Fail implements logic.Host.
+// Fail implements balancer.Host.
 func (l *loop) Fail(id string) {
 	if r := l.reqs[id]; r != nil {
 		l.end(r, answer{status: http.StatusBadGateway})
 	}
 }
 
-// SetTimer implements logic.Host.
+// SetTimer implements balancer.Host.
 func (l *loop) SetTimer(delay int64, token string) {
 	l.timers.Add(timing.NewTimer(l.clock.Now()+delay, due{token: token}))
 }
 
-// Watch implements logic.Host. Where the list is pushed the watch stands anyway.
+// Watch implements balancer.Host. Where the list is pushed the watch stands anyway.
 func (l *loop) Watch() {
 	select {
 	case l.asked <- struct{}{}:
@@ -410,5 +410,5 @@
 	}
 }
 
-// Log implements logic.Host.
+// Log implements balancer.Host.
 func (l *loop) Log(line string) { l.log.Info(line) }
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"fernlanding/internal/discovery"
+	"baylock/internal/discovery"
 )
 
 const (
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -10,10 +10,10 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/settings"
-	"fernlanding/internal/timing"
-	"fernlanding/logic"
+	"baylock/balancer"
+	"baylock/internal/discovery"
+	"baylock/internal/settings"
+	"baylock/internal/timing"
 )
 
 const (
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, err
 	}
-	bal, err := logic.New(first.logic, cfg.Seed)
+	bal, err := balancer.New(first.logic, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -101,7 +101,7 @@
 	}
 	l.detached(sh.now)
 	if cfg.Known != nil {
-		l.apply(logic.Cached, cfg.Known)
+		l.apply(balancer.Cached, cfg.Known)
 	}
 	for id, at := range sh.now.Back { // put back by hand a short while ago
 		bal.Detach(id)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/settings"
+	"baylock/internal/discovery"
+	"baylock/internal/settings"
 )
 
 const siteText = `{"contract":{"cold_us":1000000,"start_capacity":0.3},"failure_domains":["a"],"limits":{` +
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -12,17 +12,17 @@
 	"strconv"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/settings"
-	"fernlanding/logic"
+	"baylock/balancer"
+	"baylock/internal/discovery"
+	"baylock/internal/settings"
 )
 
 // snapshot is the changeable part of one configuration, ready for use. It is never changed: a reload puts another one in
 // its place, and each request is read and handed over under one of them.
 type snapshot struct {
 	site     *settings.Site
-	logic    logic.Settings // site.Logic with the numbers that zones have here
-	classes  map[string]int // numbers by name
+	logic    balancer.Settings // site.Logic with the numbers that zones have here
+	classes  map[string]int    // numbers by name
 	tenants  map[string]int
 	longest  time.Duration // the longest deadline
 	earlier  earlierDeadline
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/settings"
-	"fernlanding/logic"
+	"baylock/balancer"
+	"baylock/internal/discovery"
+	"baylock/internal/settings"
 )
 
 // changed is the configuration of a running proxy with pairs of texts of the test settings replaced.
@@ -250,7 +250,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, b := serving(t, says(served, true))
-			ids := make(chan logic.Request, 1)
+			ids := make(chan balancer.Request, 1)
 			release := make(chan struct{})
 			p.loop.post(func() { <-release })
 			waitUntil(t, func() bool { return len(p.loop.events) == 0 }) // the loop is held
@@ -372,7 +372,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := logic.New(s.logic, 1); err != nil {
+		if _, err := balancer.New(s.logic, 1); err != nil {
 			t.Error(err)
 		}
 		return s.logic.Zone
--- a/internal/proxy/repeat_test.go
+++ b/internal/proxy/repeat_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/logic"
+	"baylock/balancer"
+	"baylock/internal/discovery"
 )
 
 const failed = "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
@@ -95,7 +95,7 @@
 			}
 			a.lapse = time.Now().Add(500 * time.Millisecond)
 			begun <- a
-			if res := a.run(); res.status != logic.ConnectFailed {
+			if res := a.run(); res.status != balancer.ConnectFailed {
 				t.Errorf("got %v", res.status)
 			}
 			if wait(t, "end", whole) {
@@ -156,7 +156,7 @@
 					ours <- c
 					return c, err
 				}
-				if res := newAttempt(p, "a", patience).run(); res.status != logic.OK {
+				if res := newAttempt(p, "a", patience).run(); res.status != balancer.OK {
 					t.Fatalf("got %v", res.status)
 				}
 				rested(p)
@@ -173,7 +173,7 @@
 					}
 					return false
 				}
-				if res := a.run(); res.status != logic.OK || b.requests.Load() != 2 || b.conns.Load() != 2 {
+				if res := a.run(); res.status != balancer.OK || b.requests.Load() != 2 || b.conns.Load() != 2 {
 					t.Errorf("got %v; %d requests on %d connections", res.status, b.requests.Load(), b.conns.Load())
 				}
 			})
@@ -203,7 +203,7 @@
 				waitUntil(t, a.spoken.Load)
 			}
 			res := a.run()
-			if res.status != logic.FullUp && res.status != logic.ConnectFailed {
+			if res.status != balancer.FullUp && res.status != balancer.ConnectFailed {
 				t.Errorf("got %v", res.status)
 			}
 			if wait(t, "end", whole) {
@@ -238,7 +238,7 @@
 	a.req.method, a.req.rest = http.MethodPost, newUpload(t, nil)
 	a.req.rest.length = 25 * 4096 // net/http's buffer is full then, and its last byte goes out before the error
 	a.req.rest.from = &overlong{int(a.req.rest.length)}
-	if res := a.run(); res.status != logic.Reset {
+	if res := a.run(); res.status != balancer.Reset {
 		t.Errorf("got %v", res.status)
 	}
 	if !wait(t, "end", whole) {
@@ -256,7 +256,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := poolWith(4, startBackend(t, says(text, false)).addr)
-			if res := newAttempt(p, "a", patience).run(); res.status != logic.Reset && res.status != logic.Error {
+			if res := newAttempt(p, "a", patience).run(); res.status != balancer.Reset && res.status != balancer.Error {
 				t.Errorf("got %v", res.status)
 			}
 		})
--- a/internal/proxy/shared.go
+++ b/internal/proxy/shared.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"fernlanding/logic"
+	"baylock/balancer"
 )
 
 const (
@@ -215,12 +215,12 @@
 
 // noted is what the module has learned, in a file beside the state.
 type noted struct {
-	At      time.Time     `json:"at"`
-	Learned logic.Learned `json:"learned"`
+	At      time.Time        `json:"at"`
+	Learned balancer.Learned `json:"learned"`
 }
 
 // note writes down what the module has learned, for a new version that takes over.
-func (s *shared) note(l logic.Learned) error {
+func (s *shared) note(l balancer.Learned) error {
 	data, err := json.Marshal(noted{time.Now(), l})
 	if err != nil {
 		return err
@@ -230,7 +230,7 @@
 
 // learned reads what the module of the process beside this one has learned; ok is false where nobody has noted it
 // lately.
-func (s *shared) learned() (l logic.Learned, ok bool, err error) {
+func (s *shared) learned() (l balancer.Learned, ok bool, err error) {
 	data, err := os.ReadFile(s.path + ".learned")
 	if errors.Is(err, os.ErrNotExist) {
 		return l, false, nil
--- a/internal/scale/admission/admission_test.go
+++ b/internal/scale/admission/admission_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"testing/synctest"
 
-	"fernlanding/internal/scale"
-	"fernlanding/internal/scale/scaletest"
+	"baylock/internal/scale"
+	"baylock/internal/scale/scaletest"
 )
 
 const testSeed = 1
--- a/internal/scale/depth/chain.go
+++ b/internal/scale/depth/chain.go
@@ -7,10 +7,10 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/emulator/backend"
-	"fernlanding/internal/emulator/hollow"
-	"fernlanding/logic"
+	"baylock/balancer"
+	"baylock/internal/discovery"
+	"baylock/internal/emulator/backend"
+	"baylock/internal/emulator/hollow"
 )
 
 const (
@@ -31,16 +31,16 @@
 
 var classNames = []string{safeClass: "safe", keyedClass: "keyed", unsafeClass: "unsafe"}
 
-var classes = []logic.Class{
-	safeClass:   {Aim: 300_000, Deadline: 1_000_000, Worth: 1, LateWorth: 0.25, Repeat: logic.Safe},
-	keyedClass:  {Aim: 300_000, Deadline: 1_000_000, Worth: 1, LateWorth: 0.25, Repeat: logic.Keyed, Window: 2_000_000},
-	unsafeClass: {Aim: 300_000, Deadline: 1_000_000, Worth: 1, LateWorth: 0.25, Repeat: logic.Unsafe},
+var classes = []balancer.Class{
+	safeClass:   {Aim: 300_000, Deadline: 1_000_000, Worth: 1, LateWorth: 0.25, Repeat: balancer.Safe},
+	keyedClass:  {Aim: 300_000, Deadline: 1_000_000, Worth: 1, LateWorth: 0.25, Repeat: balancer.Keyed, Window: 2_000_000},
+	unsafeClass: {Aim: 300_000, Deadline: 1_000_000, Worth: 1, LateWorth: 0.25, Repeat: balancer.Unsafe},
 }
 
 // settings are those of a proxy that sends to the tier after stage. No retry budget is stated, so that the module keeps
 // its own.
-func settings(stage, siblings, ordinal int) logic.Settings {
-	return logic.Settings{Stage: stage, Siblings: siblings, Ordinal: ordinal, Zone: ordinal % len(zones), Zones: len(zones),
+func settings(stage, siblings, ordinal int) balancer.Settings {
+	return balancer.Settings{Stage: stage, Siblings: siblings, Ordinal: ordinal, Zone: ordinal % len(zones), Zones: len(zones),
 		Classes: classes, MaxAttempts: 4, MaxRetryAfter: 2_000_000, DrainGrace: 300_000,
 		StartCapacity: 0.3, TipMultiple: 3, Cold: 8_000_000}
 }
--- a/internal/scale/depth/depth.go
+++ b/internal/scale/depth/depth.go
@@ -7,8 +7,8 @@
 	"fmt"
 	"time"
 
-	"fernlanding/internal/emulator/backend"
-	"fernlanding/internal/scale"
+	"baylock/internal/emulator/backend"
+	"baylock/internal/scale"
 )
 
 // Experiment measures a chain of 13 tiers whose last one is in trouble.
--- a/internal/scale/depth/depth_test.go
+++ b/internal/scale/depth/depth_test.go
@@ -8,10 +8,10 @@
 	"testing/synctest"
 	"time"
 
-	"fernlanding/internal/emulator/backend"
-	"fernlanding/internal/emulator/hollow"
-	"fernlanding/internal/scale"
-	"fernlanding/internal/scale/scaletest"
+	"baylock/internal/emulator/backend"
+	"baylock/internal/emulator/hollow"
+	"baylock/internal/scale"
+	"baylock/internal/scale/scaletest"
 )
 
 const testSeed = 1
--- a/internal/scale/depth/judge.go
+++ b/internal/scale/depth/judge.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"fernlanding/internal/emulator/hollow"
+	"baylock/internal/emulator/hollow"
 )
 
 const (
--- a/internal/scale/depth/play.go
+++ b/internal/scale/depth/play.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/emulator/backend"
-	"fernlanding/internal/emulator/hollow"
+	"baylock/internal/emulator/backend"
+	"baylock/internal/emulator/hollow"
 )
 
 // size says how large a chain is, and how long and how hard it is driven. Its times are whole seconds.
--- a/internal/scale/latency/chain.go
+++ b/internal/scale/latency/chain.go
@@ -6,9 +6,9 @@
 	"math/rand/v2"
 	"time"
 
-	"fernlanding/internal/emulator/registry"
-	"fernlanding/internal/scale"
-	"fernlanding/internal/scale/traffic"
+	"baylock/internal/emulator/registry"
+	"baylock/internal/scale"
+	"baylock/internal/scale/traffic"
 )
 
 const region = "region-1"
--- a/internal/scale/latency/figures.go
+++ b/internal/scale/latency/figures.go
@@ -6,7 +6,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"fernlanding/internal/scale"
+	"baylock/internal/scale"
 )
 
 // percentile is one of those that are shown.
--- a/internal/scale/latency/latency.go
+++ b/internal/scale/latency/latency.go
@@ -8,7 +8,7 @@
 	"runtime/debug"
 	"time"
 
-	"fernlanding/internal/scale"
+	"baylock/internal/scale"
 )
 
 // Experiment is the measurement.
--- a/internal/scale/latency/measure.go
+++ b/internal/scale/latency/measure.go
@@ -11,8 +11,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"fernlanding/internal/scale"
-	"fernlanding/internal/scale/traffic"
+	"baylock/internal/scale"
+	"baylock/internal/scale/traffic"
 )
 
 const (
--- a/internal/scale/propagation/changes.go
+++ b/internal/scale/propagation/changes.go
@@ -5,9 +5,9 @@
 	"math/rand/v2"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/emulator/registry"
-	"fernlanding/internal/timing"
+	"baylock/internal/discovery"
+	"baylock/internal/emulator/registry"
+	"baylock/internal/timing"
 )
 
 // changer draws changes. It goes through all backends in a drawn order, so that one changes again only after all others.
--- a/internal/scale/propagation/figures.go
+++ b/internal/scale/propagation/figures.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"fernlanding/internal/scale"
+	"baylock/internal/scale"
 )
 
 const (
--- a/internal/scale/propagation/fleet.go
+++ b/internal/scale/propagation/fleet.go
@@ -9,9 +9,9 @@
 	"slices"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/emulator/registry"
-	"fernlanding/internal/timing"
+	"baylock/internal/discovery"
+	"baylock/internal/emulator/registry"
+	"baylock/internal/timing"
 )
 
 const (
--- a/internal/scale/propagation/load.go
+++ b/internal/scale/propagation/load.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"fernlanding/internal/emulator/registry"
+	"baylock/internal/emulator/registry"
 )
 
 // load is what the service bore in one phase.
--- a/internal/scale/propagation/load_test.go
+++ b/internal/scale/propagation/load_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/emulator/registry"
+	"baylock/internal/emulator/registry"
 )
 
 func TestMostGivesTheReplicaWithTheMostOverAllPhases(t *testing.T) {
--- a/internal/scale/propagation/network.go
+++ b/internal/scale/propagation/network.go
@@ -5,8 +5,8 @@
 	"net"
 	"sync/atomic"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/emulator/registry"
+	"baylock/internal/discovery"
+	"baylock/internal/emulator/registry"
 )
 
 // network tells how a proxy reaches discovery: the address, and the dialer for it.
--- a/internal/scale/propagation/propagation.go
+++ b/internal/scale/propagation/propagation.go
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"fernlanding/internal/scale"
+	"baylock/internal/scale"
 )
 
 // Experiment is the measurement, for the scale tool.
--- a/internal/scale/propagation/propagation_test.go
+++ b/internal/scale/propagation/propagation_test.go
@@ -10,9 +10,9 @@
 	"testing/synctest"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/emulator/registry"
-	"fernlanding/internal/scale"
+	"baylock/internal/discovery"
+	"baylock/internal/emulator/registry"
+	"baylock/internal/scale"
 )
 
 const testSeed = 20261202
--- a/internal/scale/propagation/real.go
+++ b/internal/scale/propagation/real.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/emulator/registry"
-	"fernlanding/internal/scale"
+	"baylock/internal/emulator/registry"
+	"baylock/internal/scale"
 )
 
 // realProxies are real proxies that watch lists beside the hollow ones. A real proxy does not say when a change is in
--- a/internal/scale/propagation/real_test.go
+++ b/internal/scale/propagation/real_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/emulator/registry"
-	"fernlanding/internal/scale"
-	"fernlanding/internal/scale/scaletest"
+	"baylock/internal/emulator/registry"
+	"baylock/internal/scale"
+	"baylock/internal/scale/scaletest"
 )
 
 func TestMain(m *testing.M) { os.Exit(scaletest.Main(m)) }
--- a/internal/scale/propagation/scenario.go
+++ b/internal/scale/propagation/scenario.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"fernlanding/internal/timing"
+	"baylock/internal/timing"
 )
 
 // scenario is what happens to the service and the proxies while changes come.
--- a/internal/scale/propagation/topology.go
+++ b/internal/scale/propagation/topology.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"fernlanding/internal/emulator/registry"
+	"baylock/internal/emulator/registry"
 )
 
 // The regions, and the zones of each.
--- a/internal/scale/propagation/tracker.go
+++ b/internal/scale/propagation/tracker.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/discovery"
+	"baylock/internal/discovery"
 )
 
 // endpointState is what a change sets of an endpoint.
--- a/internal/scale/propagation/tracker_test.go
+++ b/internal/scale/propagation/tracker_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/emulator/registry"
+	"baylock/internal/discovery"
+	"baylock/internal/emulator/registry"
 )
 
 const testList = "service-00"
--- a/internal/scale/propagation/watcher.go
+++ b/internal/scale/propagation/watcher.go
@@ -8,10 +8,10 @@
 	"sync/atomic"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/emulator/hollow"
-	"fernlanding/internal/emulator/registry"
-	"fernlanding/logic"
+	"baylock/balancer"
+	"baylock/internal/discovery"
+	"baylock/internal/emulator/hollow"
+	"baylock/internal/emulator/registry"
 )
 
 // watcher is one proxy of the fleet, over all its starts.
@@ -92,10 +92,10 @@
 }
 
 // settings are the same for all proxies but for their place. No calls come, so that most do not matter.
-func (w *watcher) settings(ask bool) logic.Settings {
+func (w *watcher) settings(ask bool) balancer.Settings {
 	const millisecond, second = 1000, 1_000_000
-	return logic.Settings{Stage: 1, Siblings: w.ordinal + 1, Ordinal: w.ordinal, Zone: w.zone, Zones: len(zones()),
-		Classes:   []logic.Class{{Aim: second, Deadline: 2 * second, Worth: 1}},
+	return balancer.Settings{Stage: 1, Siblings: w.ordinal + 1, Ordinal: w.ordinal, Zone: w.zone, Zones: len(zones()),
+		Classes:   []balancer.Class{{Aim: second, Deadline: 2 * second, Worth: 1}},
 		Subscribe: ask, AskEvery: 10 * second, MaxAttempts: 3, DrainGrace: 500 * millisecond,
 		StartCapacity: 0.3, TipMultiple: 3, Cold: 8 * second}
 }
--- a/internal/scale/proxy.go
+++ b/internal/scale/proxy.go
@@ -13,11 +13,11 @@
 	"syscall"
 	"time"
 
-	"fernlanding/internal/discovery"
+	"baylock/internal/discovery"
 )
 
 // BuildCommand builds the program of the real proxy where the command looks for it.
-const BuildCommand = "mkdir -p bin && go build -o bin/ ./cmd/fernlanding"
+const BuildCommand = "mkdir -p bin && go build -o bin/ ./cmd/baylock"
 
 // The limits of a proxy if ProxyConfig names none: those of the platform.
 const (
--- a/internal/scale/proxy_test.go
+++ b/internal/scale/proxy_test.go
@@ -9,11 +9,11 @@
 	"strings"
 	"testing"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/scale"
-	"fernlanding/internal/scale/scaletest"
-	"fernlanding/internal/scale/traffic"
-	"fernlanding/internal/settings"
+	"baylock/internal/discovery"
+	"baylock/internal/scale"
+	"baylock/internal/scale/scaletest"
+	"baylock/internal/scale/traffic"
+	"baylock/internal/settings"
 )
 
 func TestMain(m *testing.M) { os.Exit(scaletest.Main(m)) }
--- a/internal/scale/ramp/ramp.go
+++ b/internal/scale/ramp/ramp.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/emulator/backend"
-	"fernlanding/internal/scale"
+	"baylock/internal/emulator/backend"
+	"baylock/internal/scale"
 )
 
 // Experiment measures the load of backends that come back cold.
--- a/internal/scale/ramp/ramp_test.go
+++ b/internal/scale/ramp/ramp_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"testing/synctest"
 
-	"fernlanding/internal/scale"
-	"fernlanding/internal/scale/scaletest"
+	"baylock/internal/scale"
+	"baylock/internal/scale/scaletest"
 )
 
 const testSeed = 1
--- a/internal/scale/ramp/service.go
+++ b/internal/scale/ramp/service.go
@@ -8,11 +8,11 @@
 	"sync/atomic"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/emulator/backend"
-	"fernlanding/internal/emulator/hollow"
-	"fernlanding/internal/emulator/registry"
-	"fernlanding/logic"
+	"baylock/balancer"
+	"baylock/internal/discovery"
+	"baylock/internal/emulator/backend"
+	"baylock/internal/emulator/hollow"
+	"baylock/internal/emulator/registry"
 )
 
 const (
@@ -34,7 +34,7 @@
 
 var zones = []string{"zone-a", "zone-b", "zone-c", "zone-d", "zone-e"}
 
-var classes = []logic.Class{{Aim: 400_000, Deadline: 1_500_000, Worth: 1, LateWorth: 0.25, Repeat: logic.Safe}}
+var classes = []balancer.Class{{Aim: 400_000, Deadline: 1_500_000, Worth: 1, LateWorth: 0.25, Repeat: balancer.Safe}}
 
 // service is backends, discovery, and the proxies whose calls they get.
 type service struct {
@@ -89,7 +89,7 @@
 	for i := range c.callers {
 		name, zone := fmt.Sprintf("proxy-%d", i), i%len(zones)
 		p, err := hollow.New(hollow.Config{Name: name, Zones: zones, Seed: seeds.Uint64(), Upstream: svc.tier,
-			Settings: logic.Settings{Stage: 1, Siblings: c.callers, Ordinal: i, Zone: zone, Zones: len(zones), Classes: classes,
+			Settings: balancer.Settings{Stage: 1, Siblings: c.callers, Ordinal: i, Zone: zone, Zones: len(zones), Classes: classes,
 				MaxAttempts: 4, MaxRetryAfter: 2_000_000, DrainGrace: 300_000,
 				StartCapacity: startCapacity, TipMultiple: c.tipMultiple, Cold: coldSpan.Microseconds()},
 			Discovery: discovery.Options{Address: "discovery:80",
--- a/internal/scale/reload/figures.go
+++ b/internal/scale/reload/figures.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"fernlanding/internal/scale"
+	"baylock/internal/scale"
 )
 
 // mostSeconds is how long a change may take to be in force everywhere.
--- a/internal/scale/reload/fleet.go
+++ b/internal/scale/reload/fleet.go
@@ -12,9 +12,9 @@
 	"sync/atomic"
 	"time"
 
-	"fernlanding/internal/emulator/registry"
-	"fernlanding/internal/scale"
-	"fernlanding/internal/scale/traffic"
+	"baylock/internal/emulator/registry"
+	"baylock/internal/scale"
+	"baylock/internal/scale/traffic"
 )
 
 const (
--- a/internal/scale/reload/reload.go
+++ b/internal/scale/reload/reload.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"time"
 
-	"fernlanding/internal/scale"
+	"baylock/internal/scale"
 )
 
 // Experiment is the measurement.
--- a/internal/scale/scaletest/scaletest.go
+++ b/internal/scale/scaletest/scaletest.go
@@ -15,7 +15,7 @@
 	"testing/synctest"
 	"time"
 
-	"fernlanding/internal/scale"
+	"baylock/internal/scale"
 )
 
 // program is the path of the real proxy's program during the tests of a package.
@@ -28,8 +28,8 @@
 		return fail(err)
 	}
 	defer os.RemoveAll(folder)
-	program = filepath.Join(folder, "fernlanding")
-	build := exec.Command("go", "build", "-o", program, "fernlanding/cmd/fernlanding")
+	program = filepath.Join(folder, "baylock")
+	build := exec.Command("go", "build", "-o", program, "baylock/cmd/baylock")
 	if output, err := build.CombinedOutput(); err != nil {
 		return fail(fmt.Errorf("build the proxy: %w: %s", err, output))
 	}
--- a/internal/scale/slopes/figures.go
+++ b/internal/scale/slopes/figures.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"fernlanding/internal/scale"
+	"baylock/internal/scale"
 )
 
 // What a proxy may spend for control at most.
--- a/internal/scale/slopes/measure.go
+++ b/internal/scale/slopes/measure.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"time"
 
-	"fernlanding/internal/scale"
-	"fernlanding/internal/scale/traffic"
+	"baylock/internal/scale"
+	"baylock/internal/scale/traffic"
 )
 
 // metric is one of the things that are measured at each size.
--- a/internal/scale/slopes/slopes_test.go
+++ b/internal/scale/slopes/slopes_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/scale"
-	"fernlanding/internal/scale/scaletest"
+	"baylock/internal/scale"
+	"baylock/internal/scale/scaletest"
 )
 
 func TestMain(m *testing.M) { os.Exit(scaletest.Main(m)) }
--- a/internal/scale/slopes/subject.go
+++ b/internal/scale/slopes/subject.go
@@ -9,10 +9,10 @@
 	"sync/atomic"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/emulator/registry"
-	"fernlanding/internal/scale"
-	"fernlanding/internal/scale/traffic"
+	"baylock/internal/discovery"
+	"baylock/internal/emulator/registry"
+	"baylock/internal/scale"
+	"baylock/internal/scale/traffic"
 )
 
 const (
--- a/internal/scale/traffic/backend.go
+++ b/internal/scale/traffic/backend.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"sync/atomic"
 
-	"fernlanding/internal/discovery"
+	"baylock/internal/discovery"
 )
 
 // The headers of a call.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -11,14 +11,14 @@
 	"fmt"
 	"time"
 
-	"fernlanding/logic"
+	"baylock/balancer"
 )
 
 const versionDigits = 12
 
 // Site is what the settings object says: the module's part and the names and figures of the sockets.
 type Site struct {
-	Logic   logic.Settings
+	Logic   balancer.Settings
 	Classes []string // names, in the order of Logic.Classes
 	Tenants []string // names, in the order of Logic.Tenants
 	Zones   []string
@@ -150,14 +150,14 @@
 }
 
 // logic turns the object into the module's settings.
-func (o *object) logic() (logic.Settings, error) {
-	repeats := map[string]logic.Repeat{
-		"idempotent": logic.Safe, "deduplicated": logic.Keyed, "at_most_once": logic.Unsafe,
+func (o *object) logic() (balancer.Settings, error) {
+	repeats := map[string]balancer.Repeat{
+		"idempotent": balancer.Safe, "deduplicated": balancer.Keyed, "at_most_once": balancer.Unsafe,
 	}
-	groups := map[string]logic.Group{
-		"": logic.GroupAll, "all": logic.GroupAll, "zone": logic.GroupZone, "cell": logic.GroupCell,
+	groups := map[string]balancer.Group{
+		"": balancer.GroupAll, "all": balancer.GroupAll, "zone": balancer.GroupZone, "cell": balancer.GroupCell,
 	}
-	s := logic.Settings{
+	s := balancer.Settings{
 		Stage: o.Stage, Siblings: o.Siblings, Ordinal: o.Ordinal, Zone: o.Zone, Zones: len(o.Zones),
 		Subscribe: o.Membership == "subscribe", SizeHints: o.Weights != "" && o.Weights != "off",
 		MaxAttempts: o.Limits.TryLimit, FullMayRun: o.Contract.BusyNoProof,
@@ -182,15 +182,15 @@
 		if !ok {
 			return s, fmt.Errorf("profiles[%d].dedup_scope: unknown word %q", i, p.Scope)
 		}
-		if repeat == logic.Keyed && p.Scope == "" { // who drops its repeats is not told: its own cell at least
-			group = logic.GroupCell
+		if repeat == balancer.Keyed && p.Scope == "" { // who drops its repeats is not told: its own cell at least
+			group = balancer.GroupCell
 		}
-		s.Classes = append(s.Classes, logic.Class{Name: p.Name, Aim: p.Objective, Deadline: p.GiveUp, Worth: p.Worth,
+		s.Classes = append(s.Classes, balancer.Class{Name: p.Name, Aim: p.Objective, Deadline: p.GiveUp, Worth: p.Worth,
 			LateWorth: p.LateShare, Repeat: repeat, Group: group, Window: p.Window,
 			ByArrival: p.ByArrival})
 	}
 	for _, t := range o.Tenants {
-		s.Tenants = append(s.Tenants, logic.Tenant{Name: t.Name, Portion: t.Portion, Quota: t.Quota})
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Portion: t.Portion, Quota: t.Quota})
 	}
 	return s, nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/logic"
+	"baylock/balancer"
 )
 
 const object1 = `{"contract":{"ask_every_us":10000000,"cold_us":24000000,"drain_grace_us":500000,"start_capacity":0.13},` +
@@ -26,7 +26,7 @@
 	}
 	s := site.Logic
 	if !s.FullMayRun || s.OrderSettle != 7 || s.BudgetSpan != 5_000_000 || s.BudgetShare != 0.05 ||
-		s.BudgetFree != 3 || !s.Classes[0].ByArrival || s.Classes[0].Group != logic.GroupCell {
+		s.BudgetFree != 3 || !s.Classes[0].ByArrival || s.Classes[0].Group != balancer.GroupCell {
 		t.Errorf("got %+v", s)
 	}
 	if site.Classes[0] != "put" || site.Tenants[0] != "acme" || site.DialTimeout != 200*time.Millisecond {
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if k := site.Logic.Classes[0]; k.Repeat != logic.Keyed || k.Group != logic.GroupCell || k.Window != 0 {
+	if k := site.Logic.Classes[0]; k.Repeat != balancer.Keyed || k.Group != balancer.GroupCell || k.Window != 0 {
 		t.Errorf("got %+v", k)
 	}
 }
