--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -1,6 +1,7 @@
-// The rules of admission: what may be sent, and how counts and shares are learned from how calls end.
 package balancer
 
+// This file admits or sheds requests, and learns the limits from how attempts end.
+
 import (
 	"cmp"
 	"math"
@@ -52,8 +53,8 @@
 )
 
 // canPass checks the rules in order.
-func (b *Balancer) canPass(now int64, q *request) bool {
-	if q.Spare < max(q.Lines/sparePart, min(spareLeast, q.Lines/2)) || !b.tier.canPass(b.rnd.Float64()) {
+func (b *Balancer) canPass(now Microseconds, q *request) bool {
+	if q.IdleConnections < max(q.ClientConnections/sparePart, min(spareLeast, q.ClientConnections/2)) || !b.tier.canPass(b.rnd.Float64()) {
 		return false
 	}
 	if t := q.origin; t != nil {
@@ -67,7 +68,7 @@
 
 // canPass stretches the one-second window of a small count, so that fractional counts work, but not beyond
 // the copy's life. Room for chance guards sparse copies, where single calls fill a tenant's count.
-func (r *originRule) canPass(now, born int64, count, room, u float64) bool {
+func (r *originRule) canPass(now, born Microseconds, count, room, u float64) bool {
 	span := second
 	for span < windowWhole && count*float64(span/second) < windowHold && now-born >= span {
 		span *= 2
@@ -78,7 +79,7 @@
 
 // room is how likely chance is allowed for: less as calls are late, and not if a tenant clearly sends more
 // than its part of the quotas and, while nothing is slow, of what this copy gets, as traffic may move here.
-func (b *Balancer) room(now int64, t *originRule) float64 {
+func (b *Balancer) room(now Microseconds, t *originRule) float64 {
 	part := b.fair * float64(min(now-b.born, tallySpan)) / float64(second)
 	if b.share >= 1 {
 		part = max(part, b.came.at(now))
@@ -95,7 +96,7 @@
 func (r *threadRule) canPass(u float64) bool { return float64(r.threads)+1 <= r.count+u }
 
 // add takes one finish. Once the round can be judged it returns the verdict, and by what factor to cut.
-func (r *round) add(now, sent int64, bad bool, p pace) (verdict, float64) {
+func (r *round) add(now, sent Microseconds, bad bool, p pace) (verdict, float64) {
 	if r.start = cmp.Or(r.start, sent); sent < r.start {
 		return undecided, 1
 	}
@@ -118,7 +119,7 @@
 	return v, 1 - cutDepth*part
 }
 
-func (r *threadRule) learn(ev *round, now, sent int64, bad bool, p pace) {
+func (r *threadRule) learn(ev *round, now, sent Microseconds, bad bool, p pace) {
 	switch v, factor := ev.add(now, sent, bad, p); v {
 	case undecided:
 		return
@@ -133,12 +134,12 @@
 
 // bound sets what the evidence is judged by.
 func (b *Balancer) bound() {
-	allowed, least, longest := badPart, minCount, int64(0)
-	if b.s.Stage > 0 {
+	allowed, least, longest := badPart, minCount, Microseconds(0)
+	if b.s.Tier > 0 {
 		allowed, least = hopeless, deepCount
 	}
 	for i, c := range b.classes {
-		span := roundSpan * b.s.Classes[i].Aim
+		span := roundSpan * b.s.Classes[i].LatencyObjective
 		longest = max(longest, span)
 		c.rule.least, c.rule.ev.allowed, c.rule.ev.span = least, allowed, span
 		c.yield.allowed, c.yield.span = slowMuch, span
@@ -149,17 +150,17 @@
 }
 
 // learn takes what an attempt's end tells of the server, the counts, the shares and the zones.
-func (b *Balancer) learn(now int64, q *request, a *attempt, o Outcome) {
-	if o.Status == Cancelled || o.Status == Moot {
+func (b *Balancer) learn(now Microseconds, q *request, a *attempt, o Outcome) {
+	if o.Status == Cancelled || o.Status == NotAttempted {
 		return
 	}
 	c, failed := q.class, o.Status != OK
 	blame := b.judge(a.srv, c, o.Status)
 	if !failed {
-		b.reward(c, a.srv, float64(o.Took))
+		b.reward(c, a.srv, float64(o.Latency))
 	}
 	spent := float64(now - a.sent)
-	late := failed && !blame || !failed && spent > lateBar*float64(q.kind.Aim)
+	late := failed && !blame || !failed && spent > lateBar*float64(q.kind.LatencyObjective)
 	slow := late || !failed && spent > b.slowBar(q.kind, c)
 	p := paceOf(failed, spent <= c.base)
 	b.tier.learn(&b.tier.ev, now, a.sent, late, p)
@@ -172,7 +173,7 @@
 // slowBar is when a call counts as slow: well before its aim, and when it takes clearly longer than if
 // little waits.
 func (b *Balancer) slowBar(k *Class, c *classState) float64 {
-	if bar := slowBar * float64(k.Aim); b.s.Stage > 0 || b.share <= crowdLow || bar < crowdBar*c.base {
+	if bar := slowBar * float64(k.LatencyObjective); b.s.Tier > 0 || b.share <= crowdLow || bar < crowdBar*c.base {
 		return bar
 	}
 	return crowdBar * c.base
@@ -180,17 +181,17 @@
 
 // value is a class's worth for each unit of work, by the time that its calls take when little waits.
 func (b *Balancer) value(k *Class, c *classState) float64 {
-	if b.s.ByWork {
-		return k.Worth
+	if b.s.WeighByWork {
+		return k.PriorityWeight
 	}
-	return k.Worth / c.base
+	return k.PriorityWeight / c.base
 }
 
 // press takes one piece of evidence on whether the shares and home are under pressure. A class also yields
 // to one worth clearly more: that one's calls cut its count when they near their aim. Those only slower
 // than in quiet press the shares.
-func (b *Balancer) press(now int64, class *classState, a *attempt, slow, homeBad bool, p pace) {
-	near := float64(now-a.sent) > slowBar*float64(a.kind.Aim)
+func (b *Balancer) press(now Microseconds, class *classState, a *attempt, slow, homeBad bool, p pace) {
+	near := float64(now-a.sent) > slowBar*float64(a.kind.LatencyObjective)
 	worth := b.value(a.kind, class)
 	for i, c := range b.classes {
 		// A call that is still out may yet near its aim or not.
@@ -222,13 +223,13 @@
 
 // watch counts calls as slow when they have been out for the slow bar, not when they end: in a jam that is
 // seconds later, and shares must fall before then.
-func (b *Balancer) watch(now int64) {
+func (b *Balancer) watch(now Microseconds) {
 	for _, c := range b.classes {
 		var kind *Class
-		for bar := int64(0); len(c.waiting) > 0; {
+		for bar := Microseconds(0); len(c.waiting) > 0; {
 			a := c.waiting[0]
 			if a.kind != kind {
-				kind, bar = a.kind, int64(b.slowBar(a.kind, c))
+				kind, bar = a.kind, Microseconds(b.slowBar(a.kind, c))
 			}
 			if now-a.sent <= bar {
 				break
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,10 +1,11 @@
+package balancer
+
 // The decisions of the balancer but for admission, which is in admission.go. The interface is in api.go.
 //
 // Before each send the rules are checked in order, as Sentinel's FlowSlot does: the tier's (thread grade,
 // cluster node), the tenant's (QPS grade, origin node), the class's (thread grade, default node). A rule
 // over its count fails fast and unsent. Counts are learned: they start high, rise after rounds of timely
 // finishes and are cut after bad ones. A call that passes goes to a server by a weighted random draw.
-package balancer
 
 import (
 	"cmp"
@@ -25,7 +26,7 @@
 	healthRise  = 0.25 // part of the lost health that a success restores
 	blameRatio  = 2.0  // a server is to blame when it fails this many times as often as all
 	coldMargin  = 0.6  // part of its least capacity that a cold server is given
-	coldMost    = 0.75 // and this times TipMultiple as much where too few others can take the rest
+	coldMost    = 0.75 // and this times SlowStartOverload as much where too few others can take the rest
 	owedSteps   = 200  // copies give a server put back its first calls in turn, this part of Cold apart
 
 	hintPart = 0.5 // of the aim: the longest hint
@@ -57,10 +58,10 @@
 		return nil, err
 	}
 	b := &Balancer{s: &Settings{}, rnd: rand.New(rand.NewPCG(seed, seed)), byID: map[string]*server{},
-		detached: map[string]bool{}, awaited: map[string]int64{}, tier: threadRule{count: startCount},
+		detached: map[string]bool{}, awaited: map[string]Microseconds{}, tier: threadRule{count: startCount},
 		reqs: map[string]*request{}, turns: map[string]*turn{}, backoff: watchFirst}
 	b.share, b.spill, b.shareBad = shareStart, spillStart, sharePress
-	if s.Stage > 0 {
+	if s.Tier > 0 {
 		b.share, b.spill, b.shareBad = shareDeep, spillLow, shareDeep
 	}
 	b.shareMost = b.share
@@ -68,28 +69,28 @@
 	return b, nil
 }
 
-// List takes a list of servers or its changes.
-func (b *Balancer) List(now int64, h Host, kind ListKind, entries []Server) {
-	if kind == Failed {
+// UpdateEndpoints takes a list of servers or its changes.
+func (b *Balancer) UpdateEndpoints(now Microseconds, h Host, kind UpdateKind, entries []Endpoint) {
+	if kind == FailedUpdate {
 		if b.asked { // many copies keep the list busy: back off, one ask at a time
-			h.SetTimer(b.backoff+b.rnd.Int64N(b.backoff), watchToken)
+			h.SetTimer(b.backoff+Microseconds(b.rnd.Int64N(int64(b.backoff))), watchToken)
 			b.backoff = min(2*b.backoff, watchMost)
 		}
 		b.asked = false
 		return
 	}
-	if kind != Delta {
+	if kind != IncrementalUpdate {
 		for _, s := range b.all {
-			s.State = Gone // unless listed below
+			s.State = Removed // unless listed below
 		}
 	}
 	for _, e := range entries {
 		b.enter(e)
 	}
 	b.relist()
-	if b.s.Subscribe && !b.asked {
+	if b.s.SubscribeRequired && !b.asked {
 		b.asked = true
-		h.Watch()
+		h.Subscribe()
 	}
 	b.backoff = watchFirst
 }
@@ -98,10 +99,10 @@
 // out of the draw from the moment that the list says that it drains or is gone.
 func (b *Balancer) relist() {
 	b.all = slices.DeleteFunc(b.all, func(s *server) bool {
-		if s.State == Gone {
+		if s.State == Removed {
 			delete(b.byID, s.ID)
 		}
-		return s.State == Gone
+		return s.State == Removed
 	})
 	b.ready = b.ready[:0]
 	for _, s := range b.all {
@@ -124,7 +125,7 @@
 
 // Attach takes their word that a detached server may serve again. It may have restarted out of sight, so it
 // comes back as one that starts now.
-func (b *Balancer) Attach(now int64, id string) {
+func (b *Balancer) Attach(now Microseconds, id string) {
 	if s := b.byID[id]; s != nil && b.detached[id] {
 		s.forget(b.slots)
 		s.back, s.owed = now, true
@@ -142,22 +143,22 @@
 	slices.SortFunc(b.ready, func(x, y *server) int {
 		return cmp.Or(cmp.Compare(x.hash, y.hash), cmp.Compare(x.ID, y.ID))
 	})
-	_, start := math.Modf(float64(b.s.Ordinal) * golden)
+	_, start := math.Modf(float64(b.s.ReplicaIndex) * golden)
 	first := int(start * float64(len(b.ready)))
 	b.ready = slices.Concat(b.ready[first:], b.ready[:first])
 }
 
 // subset is how many warm and healthy servers this copy's calls are spread over.
-func (b *Balancer) subset(now int64) float64 {
+func (b *Balancer) subset(now Microseconds) float64 {
 	rate := b.tier.pass.sum(now, windowWhole) / float64(windowWhole/second)
 	return max(subsetLeast, subsetRoot*math.Sqrt(rate))
 }
 
-// Timer takes a timer that was asked for.
-func (b *Balancer) Timer(now int64, h Host, token string) {
+// TimerFired takes a timer that was asked for.
+func (b *Balancer) TimerFired(now Microseconds, h Host, token string) {
 	if token == watchToken && !b.asked {
 		b.asked = true
-		h.Watch()
+		h.Subscribe()
 	} else if id, ok := strings.CutPrefix(token, heldToken); ok {
 		if q := b.reqs[id]; q != nil && !q.over && len(q.attempts) == 0 {
 			b.refuse(now, h, q)
@@ -167,9 +168,9 @@
 	}
 }
 
-// Request takes a request, and sends or refuses it at once: none is held unsent but those that must wait
+// HandleRequest takes a request, and sends or refuses it at once: none is held unsent but those that must wait
 // for their key's turn (rule 5), and these no longer than they can still make it.
-func (b *Balancer) Request(now int64, h Host, r Request) {
+func (b *Balancer) HandleRequest(now Microseconds, h Host, r Request) {
 	if b.reqs[r.ID] != nil {
 		return
 	}
@@ -179,7 +180,7 @@
 	}
 	b.watch(now)
 	b.born = cmp.Or(b.born, now)
-	b.taken.add(now, b.s.BudgetSpan)
+	b.taken.add(now, b.s.RetryBudgetWindow)
 	b.came.add(now)
 	q := &request{Request: r, came: now, kind: &b.s.Classes[r.Class], class: b.classes[r.Class]}
 	if r.Tenant >= 0 && r.Tenant < len(b.tenants) {
@@ -187,7 +188,7 @@
 		q.origin.came.add(now)
 	}
 	b.reqs[r.ID] = q
-	if r.Key == "" || !q.kind.ByArrival {
+	if r.Key == "" || !q.kind.OrderedByKey {
 		b.start(now, h, q)
 		return
 	}
@@ -200,11 +201,11 @@
 		b.refuse(now, h, q)
 		return
 	}
-	h.SetTimer(max(int64(last), 0), heldToken+q.ID)
+	h.SetTimer(max(Microseconds(last), 0), heldToken+q.ID)
 }
 
 // start checks the rules and sends a request's first attempt, or refuses it.
-func (b *Balancer) start(now int64, h Host, q *request) {
+func (b *Balancer) start(now Microseconds, h Host, q *request) {
 	if !b.canPass(now, q) || !b.inTime(now, q) || !b.send(now, h, q) {
 		b.refuse(now, h, q)
 	} else if q.origin != nil {
@@ -213,7 +214,7 @@
 }
 
 // next starts the request whose turn it is, unless its key rests: an attempt may then still be running.
-func (b *Balancer) next(now int64, h Host, t *turn) {
+func (b *Balancer) next(now Microseconds, h Host, t *turn) {
 	for len(t.line) > 0 && len(t.line[0].attempts) == 0 && now >= t.rest {
 		b.start(now, h, t.line[0])
 	}
@@ -222,31 +223,31 @@
 
 // refuse gives a hint spread so that clients do not return together, nor so late that an answer then misses
 // its aim.
-func (b *Balancer) refuse(now int64, h Host, q *request) {
+func (b *Balancer) refuse(now Microseconds, h Host, q *request) {
 	most := b.longestHint(q)
-	h.Refuse(q.ID, most/2+b.rnd.Int64N(most/2+1))
+	h.Reject(q.ID, most/2+Microseconds(b.rnd.Int64N(int64(most/2+1))))
 	b.finish(now, h, q)
 }
 
-func (b *Balancer) longestHint(q *request) int64 {
-	return min(b.s.MaxRetryAfter, int64(hintPart*float64(q.kind.Aim)))
+func (b *Balancer) longestHint(q *request) Microseconds {
+	return min(b.s.MaxRetryAfter, Microseconds(hintPart*float64(q.kind.LatencyObjective)))
 }
 
 // deadline is when an answer stops being worth anything.
-func (b *Balancer) deadline(q *request) int64 {
-	if b.s.Stage == 0 && q.kind.LateWorth == 0 {
-		return min(q.GiveUp, q.came+q.kind.Aim)
+func (b *Balancer) deadline(q *request) Microseconds {
+	if b.s.Tier == 0 && q.kind.LateFraction == 0 {
+		return min(q.Deadline, q.came+q.kind.LatencyObjective)
 	}
-	return q.GiveUp
+	return q.Deadline
 }
 
 // inTime tells whether a request can still be answered while that is worth something.
-func (b *Balancer) inTime(now int64, q *request) bool {
+func (b *Balancer) inTime(now Microseconds, q *request) bool {
 	return float64(b.deadline(q)-now) > leastMeans*q.class.mean
 }
 
 // send draws a server and sends an attempt there; false if there is none to send to.
-func (b *Balancer) send(now int64, h Host, q *request) bool {
+func (b *Balancer) send(now Microseconds, h Host, q *request) bool {
 	s := b.draw(now, q)
 	if s == nil {
 		return false
@@ -259,21 +260,21 @@
 	a.owed, s.owed = s.owed, false
 	s.inflight++
 	b.tier.pass.add(now)
-	if !q.Streamed {
+	if !q.Streaming {
 		b.enterCall(q, a)
 	}
 	h.Send(q.ID, s.ID, b.timeout(now, q), lapse)
 	return true
 }
 
-// Uploaded takes the news that the last byte of a streamed request has gone out. Its time counts from now on,
+// RequestUploaded takes the news that the last byte of a streamed request has gone out. Its time counts from now on,
 // since what its client took to write it tells nothing of servers.
-func (b *Balancer) Uploaded(now int64, id string, giveUp int64) {
+func (b *Balancer) RequestUploaded(now Microseconds, id string, giveUp Microseconds) {
 	q := b.reqs[id]
-	if q == nil || !q.Streamed || len(q.attempts) == 0 {
+	if q == nil || !q.Streaming || len(q.attempts) == 0 {
 		return
 	}
-	q.Streamed, q.came, q.GiveUp = false, now, giveUp
+	q.Streaming, q.came, q.Deadline = false, now, giveUp
 	if a := q.attempts[len(q.attempts)-1]; a.out {
 		a.sent = now
 		b.enterCall(q, a)
@@ -281,17 +282,17 @@
 }
 
 // timeout gives an attempt up when its answer would be worth nothing, or before where another may follow.
-func (b *Balancer) timeout(now int64, q *request) int64 {
+func (b *Balancer) timeout(now Microseconds, q *request) Microseconds {
 	left := b.deadline(q) - now
-	if q.kind.Repeat != Unsafe && len(q.attempts) < b.s.MaxAttempts {
-		left = min(left, int64(hangMeans*q.class.mean))
+	if q.kind.Idempotency != NotIdempotent && len(q.attempts) < b.s.MaxAttempts {
+		left = min(left, Microseconds(hangMeans*q.class.mean))
 	}
 	return max(left, 1)
 }
 
 // draw picks a ready server of this copy's subset at random by weight; those tried before come last. The
 // subset grows where it has too few warm and healthy servers, or none that the request may go to.
-func (b *Balancer) draw(now int64, q *request) *server {
+func (b *Balancer) draw(now Microseconds, q *request) *server {
 	b.weights = b.weights[:0]
 	sum, held, room := 0.0, 0.0, b.subset(now)
 	for _, s := range b.ready {
@@ -322,7 +323,7 @@
 			lack += b.weights[i]/warmth - b.weights[i]
 		}
 	}
-	if x := b.rnd.Float64() * max(total, (total+lack)/max(1, coldMost*b.s.TipMultiple)); x < total {
+	if x := b.rnd.Float64() * max(total, (total+lack)/max(1, coldMost*b.s.SlowStartOverload)); x < total {
 		return b.pick(x)
 	}
 	for i, s := range b.ready[:len(b.weights)] { // more than cold servers bear: to the warm ones, or to none
@@ -339,13 +340,13 @@
 
 // weigh is a server's weight in the draw before the calls of this copy that it already holds: its size, what
 // was learned of it, its age and its zone.
-func (b *Balancer) weigh(now int64, s *server, class *classState) float64 {
-	if s.owed && now >= s.back+int64(b.s.Ordinal)*b.s.Cold/owedSteps { // one call of each copy is no burden
+func (b *Balancer) weigh(now Microseconds, s *server, class *classState) float64 {
+	if s.owed && now >= s.back+Microseconds(b.s.ReplicaIndex)*b.s.SlowStartDuration/owedSteps { // one call of each copy is no burden
 		return 1
 	}
 	w := max(healthFloor, s.healthFor(class)) / (s.slowness * s.slowness) * b.warmth(now, s)
-	if b.s.SizeHints && s.Size > 0 {
-		w *= s.Size
+	if b.s.CapacityHints && s.Capacity > 0 {
+		w *= s.Capacity
 	}
 	if s.Zone != b.s.Zone { // calls stay at home while home copes
 		w *= b.spill
@@ -355,36 +356,36 @@
 
 // warmth guards against pushing a cold server over (rule 4): its weight is under the least capacity that
 // a server of its age has.
-func (b *Balancer) warmth(now int64, s *server) float64 {
-	start := max(s.Launched, s.back)
+func (b *Balancer) warmth(now Microseconds, s *server) float64 {
+	start := max(s.StartedAt, s.back)
 	age := now - start
-	if start == 0 || age >= b.s.Cold {
+	if start == 0 || age >= b.s.SlowStartDuration {
 		return 1
 	}
-	part := float64(max(age, 0)) / float64(b.s.Cold)
-	return coldMargin * (b.s.StartCapacity + (1-b.s.StartCapacity)*part)
+	part := float64(max(age, 0)) / float64(b.s.SlowStartDuration)
+	return coldMargin * (b.s.SlowStartCapacity + (1-b.s.SlowStartCapacity)*part)
 }
 
 // lapse is by when a repeat has to be on its way: later it might reach servers that have forgotten the first
 // attempt that may have run. It is 0 while none may have run, and where repeats are not told by their key.
-func (b *Balancer) lapse(q *request) int64 {
+func (b *Balancer) lapse(q *request) Microseconds {
 	i := slices.IndexFunc(q.attempts, (*attempt).hasRun) // they are in order
-	if i < 0 || q.kind.Repeat != Keyed {
+	if i < 0 || q.kind.Idempotency != IdempotentWithKey {
 		return 0
 	}
-	return q.attempts[i].begun + q.kind.Window - onTheWay
+	return q.attempts[i].begun + q.kind.DedupWindow - onTheWay
 }
 
 // mayGo keeps rule 2 for a further attempt: once one may have run, an unsafe request goes nowhere, and a
 // keyed one only to the group that drops its repeats, while that remembers it.
-func (b *Balancer) mayGo(now int64, q *request, s *server) bool {
+func (b *Balancer) mayGo(now Microseconds, q *request, s *server) bool {
 	k := q.kind
 	for _, a := range q.attempts {
-		if !a.mayRun || k.Repeat == Safe {
+		if !a.mayRun || k.Idempotency == Idempotent {
 			continue
 		}
-		if k.Repeat == Unsafe || now >= b.lapse(q) ||
-			k.Group == GroupZone && a.zone != s.Zone || k.Group == GroupCell && a.cell != s.Cell {
+		if k.Idempotency == NotIdempotent || now >= b.lapse(q) ||
+			k.DedupScope == DedupZone && a.zone != s.Zone || k.DedupScope == DedupCell && a.cell != s.Cell {
 			return false
 		}
 	}
@@ -394,29 +395,29 @@
 // mayRefuse keeps rule 2 for a refusal, which tells the client that trying again is harmless: once an
 // attempt may have run, that holds where all servers drop repeats, and for a client that comes again while
 // they do.
-func (b *Balancer) mayRefuse(now int64, q *request) bool {
+func (b *Balancer) mayRefuse(now Microseconds, q *request) bool {
 	k := q.kind
-	return k.Repeat == Safe || !slices.ContainsFunc(q.attempts, (*attempt).hasRun) ||
-		k.Repeat == Keyed && k.Group == GroupAll && now+b.longestHint(q) < b.lapse(q)
+	return k.Idempotency == Idempotent || !slices.ContainsFunc(q.attempts, (*attempt).hasRun) ||
+		k.Idempotency == IdempotentWithKey && k.DedupScope == DedupTier && now+b.longestHint(q) < b.lapse(q)
 }
 
-// Started takes the news that a streamed answer has begun: from now on that attempt is the client's.
-func (b *Balancer) Started(now int64, id string) {
+// ResponseStarted takes the news that a streamed answer has begun: from now on that attempt is the client's.
+func (b *Balancer) ResponseStarted(now Microseconds, id string) {
 	if q := b.reqs[id]; q != nil {
 		q.over = true
 	}
 }
 
-// Withdrawn takes the news that nobody waits for a request any more.
-func (b *Balancer) Withdrawn(now int64, h Host, id string) {
+// CancelRequest takes the news that nobody waits for a request any more.
+func (b *Balancer) CancelRequest(now Microseconds, h Host, id string) {
 	if q := b.reqs[id]; q != nil {
 		b.finish(now, h, q)
 	}
 }
 
-// Outcome takes the end of an attempt; where the request is still owed an answer it gets a further
+// HandleOutcome takes the end of an attempt; where the request is still owed an answer it gets a further
 // attempt or its final answer at once.
-func (b *Balancer) Outcome(now int64, h Host, o Outcome) {
+func (b *Balancer) HandleOutcome(now Microseconds, h Host, o Outcome) {
 	q := b.reqs[o.ID]
 	if q == nil || o.Attempt < 0 || o.Attempt >= len(q.attempts) || !q.attempts[o.Attempt].out {
 		return
@@ -424,8 +425,8 @@
 	b.watch(now)
 	a := q.attempts[o.Attempt]
 	a.out = false
-	a.mayRun = o.Status != ConnectFailed && o.Status != Moot && (o.Status != FullUp || a.set.FullMayRun)
-	a.srv.owed = a.srv.owed || a.owed && (o.Status == ConnectFailed || o.Status == Moot) // it has got nothing
+	a.mayRun = o.Status != ConnectFailed && o.Status != NotAttempted && (o.Status != Rejected || a.set.RejectedMayRun)
+	a.srv.owed = a.srv.owed || a.owed && (o.Status == ConnectFailed || o.Status == NotAttempted) // it has got nothing
 	q.out--
 	a.srv.inflight--
 	if a.counts {
@@ -435,12 +436,12 @@
 	b.learn(now, q, a, o)
 	b.report(now, h)
 	if q.turn != nil && slices.Contains([]Status{TimedOut, Reset, Cancelled}, o.Status) { // it may still run
-		q.turn.rest = max(q.turn.rest, now+a.set.OrderSettle)
-		h.SetTimer(a.set.OrderSettle, turnToken+q.Key)
+		q.turn.rest = max(q.turn.rest, now+a.set.OrderedKeyCooldown)
+		h.SetTimer(a.set.OrderedKeyCooldown, turnToken+q.Key)
 	}
-	if o.Closed || q.over {
+	if o.RequestDone || q.over {
 		b.finish(now, h, q)
-	} else if q.out > 0 || !o.Spent && b.again(now, h, q) {
+	} else if q.out > 0 || !o.BodyConsumed && b.again(now, h, q) {
 		return
 	} else if b.mayRefuse(now, q) {
 		b.refuse(now, h, q)
@@ -452,13 +453,13 @@
 
 // again makes a further attempt, where time, rules, rule 2 and the budget (rule 6) allow one. The budget is
 // exact in the window that ends now: an attempt at its far edge counts, a request taken there does not.
-func (b *Balancer) again(now int64, h Host, q *request) bool {
-	u, rule, from := b.rnd.Float64(), &q.class.rule, now-b.s.BudgetSpan
+func (b *Balancer) again(now Microseconds, h Host, q *request) bool {
+	u, rule, from := b.rnd.Float64(), &q.class.rule, now-b.s.RetryBudgetWindow
 	if len(q.attempts) >= b.s.MaxAttempts || !b.inTime(now, q) || !b.tier.canPass(u) || !rule.canPass(u) ||
-		b.further.since(from)+1 > b.s.BudgetFree+b.s.BudgetShare*b.taken.since(from+1) || !b.send(now, h, q) {
+		b.further.since(from)+1 > b.s.RetryBudgetMin+b.s.RetryBudgetRatio*b.taken.since(from+1) || !b.send(now, h, q) {
 		return false
 	}
-	b.further.add(now, max(b.s.BudgetSpan, budgetKept))
+	b.further.add(now, max(b.s.RetryBudgetWindow, budgetKept))
 	return true
 }
 
@@ -472,7 +473,7 @@
 	c.errs += (x - c.errs) * meanGain
 	if status == ConnectFailed {
 		blame = s.whole.judge(x, 0)
-	} else if status != Error && status != FullUp {
+	} else if status != Error && status != Rejected {
 		blame = s.whole.judge(x, blameRatio*b.errs)
 	}
 	if status == Error || status == OK {
--- a/balancer/learned.go
+++ b/balancer/learned.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// Learned is what a copy has learned, for the one that takes its place.
-type Learned struct {
-	Tier    float64                  `json:"tier"`
-	Share   float64                  `json:"share"`
-	Spill   float64                  `json:"spill"`
-	Errs    float64                  `json:"errs"`
-	Classes []LearnedClass           `json:"classes"`
-	Servers map[string]LearnedServer `json:"servers"`
+// LearnedState is what a copy has learned, for the one that takes its place.
+type LearnedState struct {
+	Tier    float64                    `json:"tier"`
+	Share   float64                    `json:"share"`
+	Spill   float64                    `json:"spill"`
+	Errs    float64                    `json:"errs"`
+	Classes []LearnedClass             `json:"classes"`
+	Servers map[string]LearnedEndpoint `json:"servers"`
 }
 
 // LearnedClass is what was learned of a class.
@@ -22,23 +22,23 @@
 	Errs  float64 `json:"errs"`
 }
 
-// LearnedServer is what was learned of a server's process.
-type LearnedServer struct {
-	Launched int64     `json:"launched"`
-	Slowness float64   `json:"slowness"`
-	Left     float64   `json:"left"`
-	Classes  []float64 `json:"classes"`
+// LearnedEndpoint is what was learned of a server's process.
+type LearnedEndpoint struct {
+	Launched Microseconds `json:"launched"`
+	Slowness float64      `json:"slowness"`
+	Left     float64      `json:"left"`
+	Classes  []float64    `json:"classes"`
 }
 
-// Learned returns what this copy has learned so far.
-func (b *Balancer) Learned() Learned {
-	l := Learned{Tier: b.tier.count, Share: b.share, Spill: b.spill, Errs: b.errs,
-		Servers: make(map[string]LearnedServer, len(b.all))}
+// ExportState returns what this copy has learned so far.
+func (b *Balancer) ExportState() LearnedState {
+	l := LearnedState{Tier: b.tier.count, Share: b.share, Spill: b.spill, Errs: b.errs,
+		Servers: make(map[string]LearnedEndpoint, len(b.all))}
 	for i, c := range b.classes {
 		l.Classes = append(l.Classes, LearnedClass{b.s.Classes[i].Name, c.rule.count, c.mean, c.base, c.seen, c.errs})
 	}
 	for _, s := range b.all {
-		k := LearnedServer{Launched: s.Launched, Slowness: s.slowness, Left: s.whole.left}
+		k := LearnedEndpoint{Launched: s.StartedAt, Slowness: s.slowness, Left: s.whole.left}
 		for _, c := range b.classes {
 			k.Classes = append(k.Classes, s.health(c).left)
 		}
@@ -47,9 +47,9 @@
 	return l
 }
 
-// Learn lets a fresh copy begin where another stands; what makes no sense is left out. It takes no part in what that
+// ImportState lets a fresh copy begin where another stands; what makes no sense is left out. It takes no part in what that
 // one still has out. Classes are known again by their names, since the other may have other settings.
-func (b *Balancer) Learn(l Learned) {
+func (b *Balancer) ImportState(l LearnedState) {
 	set := func(to *float64, v, least, most float64) {
 		if v >= least && v <= most { // never so for NaN
 			*to = v
@@ -77,7 +77,7 @@
 	}
 	for _, s := range b.all {
 		k, ok := l.Servers[s.ID]
-		if !ok || k.Launched != s.Launched || len(k.Classes) != len(l.Classes) {
+		if !ok || k.Launched != s.StartedAt || len(k.Classes) != len(l.Classes) {
 			continue
 		}
 		set(&s.slowness, k.Slowness, 1/slowMost, slowMost)
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -18,16 +18,16 @@
 		return err
 	}
 	// Counts and shares that one tier has taught mean nothing in another.
-	if s.Stage != b.s.Stage {
-		return errors.New("balancer: Settings.Stage: a change needs a restart")
+	if s.Tier != b.s.Tier {
+		return errors.New("balancer: Settings.Tier: a change needs a restart")
 	}
 	// What was asked of the subscription before would never be answered, or what is told now was never asked for.
-	if s.Subscribe != b.s.Subscribe {
-		return errors.New("balancer: Settings.Subscribe: a change needs a restart")
+	if s.SubscribeRequired != b.s.SubscribeRequired {
+		return errors.New("balancer: Settings.SubscribeRequired: a change needs a restart")
 	}
-	ordinal := b.s.Ordinal
+	ordinal := b.s.ReplicaIndex
 	b.configure(s)
-	if s.Ordinal != ordinal {
+	if s.ReplicaIndex != ordinal {
 		b.relist()
 	}
 	return nil
@@ -36,8 +36,8 @@
 // configure puts valid settings in force.
 func (b *Balancer) configure(s Settings) {
 	s.Classes, s.Tenants = slices.Clone(s.Classes), slices.Clone(s.Tenants)
-	if s.BudgetSpan == 0 {
-		s.BudgetSpan, s.BudgetFree, s.BudgetShare = ownSpan, ownFree, ownShare
+	if s.RetryBudgetWindow == 0 {
+		s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = ownSpan, ownFree, ownShare
 	}
 	old := b.s
 	b.s = &s
@@ -51,14 +51,14 @@
 	before, after := classNames(old), classNames(b.s.Classes)
 	var states []*classState
 	for i, from := range matchNames(before, after) {
-		first := firstMean * float64(b.s.Classes[i].Aim)
+		first := firstMean * float64(b.s.Classes[i].LatencyObjective)
 		if from < 0 {
 			rule := threadRule{count: startCount}
 			states = append(states, &classState{slot: noSlot, rule: rule, mean: first, base: first})
 			continue
 		}
 		c := b.classes[from]
-		if c.seen == 0 && old[from].Aim != b.s.Classes[i].Aim { // its times were a guess
+		if c.seen == 0 && old[from].LatencyObjective != b.s.Classes[i].LatencyObjective { // its times were a guess
 			c.mean, c.base = first, first
 		}
 		states = append(states, c)
@@ -98,10 +98,10 @@
 		if from >= 0 {
 			t = b.tenants[from]
 		}
-		t.portion = b.s.Tenants[i].Portion
+		t.portion = b.s.Tenants[i].Share
 		origins = append(origins, t)
 		// A copy that carries more than its part learns a higher multiple.
-		b.fair += b.s.Tenants[i].Quota / float64(b.s.Siblings)
+		b.fair += b.s.Tenants[i].RateQuota / float64(b.s.Replicas)
 	}
 	b.tenants = origins
 }
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -11,28 +11,27 @@
 // The data that decisions read. This file keeps books; it decides nothing.
 
 const (
-	second       = int64(1_000_000) // all times are microseconds
-	windowTicks  = 64               // buckets of the sliding window
+	windowTicks  = 64 // buckets of the sliding window
 	windowBucket = second / 8
 	reportEvery  = 10 * second // between log lines of one copy
 	tallySpan    = 30 * second // memory of a tally
 	windowWhole  = windowTicks * windowBucket
-	budgetKept   = 60 * second // further attempts are remembered for so long, as Reconfigure may set a longer BudgetSpan
+	budgetKept   = 60 * second // further attempts are remembered for so long, as Reconfigure may set a longer RetryBudgetWindow
 	noSlot       = -1
 )
 
 // window counts events over a sliding time of up to windowTicks buckets.
 type window struct {
 	n    [windowTicks]int32
-	last int64
+	last Microseconds
 }
 
-func (w *window) add(now int64) {
+func (w *window) add(now Microseconds) {
 	w.advance(now)
 	w.n[w.last%windowTicks]++
 }
 
-func (w *window) advance(now int64) {
+func (w *window) advance(now Microseconds) {
 	b := now / windowBucket
 	for i := max(w.last+1, b-windowTicks+1); i <= b; i++ {
 		w.n[i%windowTicks] = 0
@@ -40,10 +39,10 @@
 	w.last = max(w.last, b)
 }
 
-func (w *window) sum(now, span int64) float64 {
+func (w *window) sum(now, span Microseconds) float64 {
 	w.advance(now)
 	total := int32(0)
-	for i := int64(0); i < span/windowBucket; i++ {
+	for i := Microseconds(0); i < span/windowBucket; i++ {
 		if w.last-i >= 0 {
 			total += w.n[(w.last-i)%windowTicks]
 		}
@@ -54,29 +53,29 @@
 // tally counts events and forgets them over about tallySpan.
 type tally struct {
 	n    float64
-	last int64
+	last Microseconds
 }
 
-func (t *tally) at(now int64) float64 {
+func (t *tally) at(now Microseconds) float64 {
 	t.n *= math.Exp(-float64(now-t.last) / float64(tallySpan))
 	t.last = now
 	return t.n
 }
 
-func (t *tally) add(now int64) { t.n = t.at(now) + 1 }
+func (t *tally) add(now Microseconds) { t.n = t.at(now) + 1 }
 
 // timeline holds the times of events, oldest first.
-type timeline []int64
+type timeline []Microseconds
 
 // add takes an event and forgets those that are older than span.
-func (l *timeline) add(now, span int64) {
+func (l *timeline) add(now, span Microseconds) {
 	*l = append(*l, now)
 	before, _ := slices.BinarySearch(*l, now-span)
 	*l = (*l)[before:]
 }
 
 // since counts the events from then on.
-func (l timeline) since(from int64) float64 {
+func (l timeline) since(from Microseconds) float64 {
 	before, _ := slices.BinarySearch(l, from)
 	return float64(len(l) - before)
 }
@@ -101,14 +100,14 @@
 }
 
 type server struct {
-	Server
+	Endpoint
 	slowness float64 // running time of its calls against the mean of all
 	whole    health
 	classes  []health // for the calls of each class, by classState.slot
 	inflight int
 	hash     uint64
-	back     int64 // when operators put it back to work; 0: never
-	owed     bool  // since then it has got nothing
+	back     Microseconds // when operators put it back to work; 0: never
+	owed     bool         // since then it has got nothing
 }
 
 // health is what is left of a server's weight, and its running part of failed calls.
@@ -148,11 +147,11 @@
 
 type attempt struct {
 	srv    *server
-	set    *Settings // in force when it was decided on
-	kind   *Class    // its request's
-	begun  int64     // when it was decided on
-	sent   int64     // the same, or when the last byte of a streamed request had gone out
-	zone   int       // as listed at the time of sending
+	set    *Settings    // in force when it was decided on
+	kind   *Class       // its request's
+	begun  Microseconds // when it was decided on
+	sent   Microseconds // the same, or when the last byte of a streamed request had gone out
+	zone   int          // as listed at the time of sending
 	cell   int
 	slow   bool // counted as slow before its end
 	mayRun bool // outstanding, or ended without proof that it never ran
@@ -167,8 +166,8 @@
 // turn is the line of one key's requests in the order of their arrival.
 type turn struct {
 	key  string
-	line []*request // the first is the one whose turn it is
-	rest int64      // until then the key rests
+	line []*request   // the first is the one whose turn it is
+	rest Microseconds // until then the key rests
 }
 
 type request struct {
@@ -176,7 +175,7 @@
 	kind     *Class      // as it was when the request came
 	class    *classState // what is known of its class
 	origin   *originRule // its tenant's; nil without one: the tenant rule is skipped
-	came     int64
+	came     Microseconds
 	turn     *turn // nil if it need not wait its turn
 	attempts []*attempt
 	over     bool
@@ -194,14 +193,14 @@
 }
 
 // tidy forgets a key that nobody waits for and that rests no more.
-func (b *Balancer) tidy(now int64, t *turn) {
+func (b *Balancer) tidy(now Microseconds, t *turn) {
 	if len(t.line) == 0 && now >= t.rest {
 		delete(b.turns, t.key)
 	}
 }
 
 // enter takes one entry of a list. What was learned of a server is dropped when its process restarts.
-func (b *Balancer) enter(e Server) {
+func (b *Balancer) enter(e Endpoint) {
 	s := b.byID[e.ID]
 	if s == nil {
 		s = &server{hash: hash(e.ID), back: b.awaited[e.ID], owed: b.awaited[e.ID] > 0}
@@ -209,10 +208,10 @@
 		b.byID[e.ID] = s
 		b.all = append(b.all, s)
 	}
-	if s.ID == "" || s.Launched != e.Launched {
+	if s.ID == "" || s.StartedAt != e.StartedAt {
 		s.forget(b.slots)
 	}
-	s.Server = e
+	s.Endpoint = e
 }
 
 // tried tells whether an attempt of the request went to the server.
@@ -266,12 +265,12 @@
 // round gathers finishes of calls sent since the last change, and judges them once they are enough, so
 // that sparse copies learn by evidence and one trouble is answered by one cut.
 type round struct {
-	start    int64 // when it began: calls sent earlier are left out
+	start    Microseconds // when it began: calls sent earlier are left out
 	n, bad   int
 	answered int // finishes with an answer, and calls that are still out
 	fast     int // answers that took no longer than the usual one under little load
 	allowed  float64
-	span     int64 // after this long a few finishes make a round
+	span     Microseconds // after this long a few finishes make a round
 }
 
 // threadRule limits calls in flight.
@@ -294,10 +293,10 @@
 	s         *Settings // those in force; never changed, but replaced by Reconfigure
 	rnd       *rand.Rand
 	byID      map[string]*server
-	all       []*server        // in order of first listing
-	ready     []*server        // those that new calls may go to, this copy's subset first
-	detached  map[string]bool  // those that operators have taken out, listed or not
-	awaited   map[string]int64 // those put back that were not listed then, and when
+	all       []*server               // in order of first listing
+	ready     []*server               // those that new calls may go to, this copy's subset first
+	detached  map[string]bool         // those that operators have taken out, listed or not
+	awaited   map[string]Microseconds // those put back that were not listed then, and when
 	reqs      map[string]*request
 	turns     map[string]*turn
 	tier      threadRule
@@ -311,15 +310,15 @@
 	shareEv   round
 	spill     float64 // weight of servers in other zones
 	spillEv   round
-	errs      float64  // running part of failed calls over all servers
-	taken     timeline // requests
-	came      tally    // requests, over a longer time
-	further   timeline // attempts beyond each request's first
-	born      int64    // when the first request came
-	backoff   int64    // before the next try at a subscription
-	asked     bool     // a subscription was asked for
+	errs      float64      // running part of failed calls over all servers
+	taken     timeline     // requests
+	came      tally        // requests, over a longer time
+	further   timeline     // attempts beyond each request's first
+	born      Microseconds // when the first request came
+	backoff   Microseconds // before the next try at a subscription
+	asked     bool         // a subscription was asked for
 	weights   []float64
-	reported  int64 // when the last log line was written
+	reported  Microseconds // when the last log line was written
 }
 
 // enter counts a call in.
@@ -330,7 +329,7 @@
 
 // enterCall counts an attempt as a call in flight: its server has all of it and may begin.
 func (b *Balancer) enterCall(q *request, a *attempt) {
-	if b.s.Stage == 0 {
+	if b.s.Tier == 0 {
 		q.class.waiting = append(q.class.waiting, a)
 	}
 	b.tier.enter()
@@ -356,7 +355,7 @@
 
 // finish marks a request as over and forgets it once all its attempts have ended; only then is it the
 // turn of the next one with its key.
-func (b *Balancer) finish(now int64, h Host, q *request) {
+func (b *Balancer) finish(now Microseconds, h Host, q *request) {
 	q.over = true
 	if q.out > 0 {
 		return
@@ -369,11 +368,11 @@
 }
 
 // report tells on-call staff when traffic inside the shares is held back, and which way calls lean.
-func (b *Balancer) report(now int64, h Host) {
+func (b *Balancer) report(now Microseconds, h Host) {
 	if b.share >= 1 || now-b.reported < reportEvery && b.reported != 0 {
 		return
 	}
 	b.reported = now
 	h.Log(fmt.Sprintf("tier %d: calls are slow or fail; tenants held to %.2f of their shares, %d calls out, "+
-		"%.0f%% of calls fail, other zones weigh %.2f", b.s.Stage, b.share, b.tier.threads, 100*b.errs, b.spill))
+		"%.0f%% of calls fail, other zones weigh %.2f", b.s.Tier, b.share, b.tier.threads, 100*b.errs, b.spill))
 }
--- a/internal/discovery/zones.go
+++ b/internal/discovery/zones.go
@@ -32,10 +32,10 @@
 
 // Servers turns entries into the decision module's. Its clock has to show Unix time in microseconds, since the start
 // times of backends are handed on as such.
-func (z Zones) Servers(entries []Endpoint) []balancer.Server {
-	out := make([]balancer.Server, 0, len(entries))
+func (z Zones) Servers(entries []Endpoint) []balancer.Endpoint {
+	out := make([]balancer.Endpoint, 0, len(entries))
 	for _, e := range entries {
-		s := balancer.Server{ID: e.Name, Zone: z.Number(e.Zone), Cell: e.Group, Size: 1, Launched: e.SinceMs * 1000}
+		s := balancer.Endpoint{ID: e.Name, Zone: z.Number(e.Zone), Cell: e.Group, Capacity: 1, StartedAt: balancer.Microseconds(e.SinceMs * 1000)}
 		switch e.Status {
 		case Serving:
 			s.State = balancer.Ready
@@ -43,7 +43,7 @@
 			s.State = balancer.Draining
 		}
 		if e.Weight != nil {
-			s.Size = *e.Weight
+			s.Capacity = *e.Weight
 		}
 		out = append(out, s)
 	}
--- a/internal/emulator/backend/counts.go
+++ b/internal/emulator/backend/counts.go
@@ -68,7 +68,7 @@
 		b.counts.Served++
 	case balancer.Error:
 		b.counts.Failed++
-	case balancer.FullUp:
+	case balancer.Rejected:
 		b.counts.TurnedAway++
 	case balancer.Reset:
 		b.counts.Reset++
@@ -110,16 +110,14 @@
 func newRunLog(classes []balancer.Class) runLog {
 	log := runLog{classes: classes, first: map[string]time.Time{}}
 	for _, c := range classes {
-		log.keep = max(log.keep, microseconds(max(2*c.Deadline, 2*c.Window)))
+		log.keep = max(log.keep, max(2*c.Deadline, 2*c.DedupWindow).Duration())
 	}
 	return log
 }
 
-func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
-
 // begin takes a run and tells whether the call's class allows it.
 func (l *runLog) begin(id string, class int, now time.Time) bool {
-	if class < 0 || class >= len(l.classes) || l.classes[class].Repeat == balancer.Safe {
+	if class < 0 || class >= len(l.classes) || l.classes[class].Idempotency == balancer.Idempotent {
 		return true
 	}
 	l.prune(now)
@@ -129,7 +127,7 @@
 		l.order = append(l.order, id)
 		return true
 	}
-	return l.classes[class].Repeat == balancer.Keyed && now.Sub(first) <= microseconds(l.classes[class].Window)
+	return l.classes[class].Idempotency == balancer.IdempotentWithKey && now.Sub(first) <= l.classes[class].DedupWindow.Duration()
 }
 
 func (l *runLog) prune(now time.Time) {
--- a/internal/emulator/backend/server.go
+++ b/internal/emulator/backend/server.go
@@ -193,7 +193,7 @@
 	case len(p.waiting) < s.cfg.Queue:
 		p.waiting = append(p.waiting, v)
 	default:
-		return balancer.FullUp
+		return balancer.Rejected
 	}
 	return balancer.OK
 }
--- a/internal/emulator/hollow/draw.go
+++ b/internal/emulator/hollow/draw.go
@@ -30,7 +30,7 @@
 	d := &drawer{name: cfg.Name, settings: cfg.Settings, rate: cfg.CallsPerSecond,
 		random: rand.New(rand.NewPCG(cfg.Seed, drawStream))}
 	for _, t := range cfg.Settings.Tenants {
-		d.portions += t.Portion
+		d.portions += t.Share
 	}
 	return d
 }
@@ -45,7 +45,7 @@
 	d.drawn++
 	c := Call{ID: d.name + "-" + strconv.FormatUint(d.drawn, 10), Class: d.random.IntN(len(d.settings.Classes)),
 		Tenant: d.tenant()}
-	if class := d.settings.Classes[c.Class]; class.Repeat == balancer.Keyed || class.ByArrival {
+	if class := d.settings.Classes[c.Class]; class.Idempotency == balancer.IdempotentWithKey || class.OrderedByKey {
 		c.Key = "key-" + strconv.Itoa(d.random.IntN(drawnKeys))
 	}
 	return c
@@ -54,7 +54,7 @@
 func (d *drawer) tenant() int {
 	x := d.random.Float64() * d.portions
 	for i, t := range d.settings.Tenants {
-		if x -= t.Portion; x < 0 {
+		if x -= t.Share; x < 0 {
 			return i
 		}
 	}
--- a/internal/emulator/hollow/hollow.go
+++ b/internal/emulator/hollow/hollow.go
@@ -100,7 +100,7 @@
 	l := newLoop(cfg, decisions)
 	p := &Proxy{loop: l}
 	if cfg.Known != nil {
-		l.apply(balancer.Cached, cfg.Known)
+		l.apply(balancer.CachedUpdate, cfg.Known)
 	}
 	if cfg.Discovery.Address != "" {
 		p.client = newClient(cfg, l)
@@ -111,9 +111,9 @@
 // newClient returns a client of discovery that is set up as the real proxy's is.
 func newClient(cfg Config, l *loop) *discovery.Client {
 	o := cfg.Discovery
-	o.Known, o.Ask, o.AwaitRequest = discovery.NoVersion, cfg.Settings.Subscribe, false
+	o.Known, o.Ask, o.AwaitRequest = discovery.NoVersion, cfg.Settings.SubscribeRequired, false
 	if cfg.Known != nil {
-		o.Known, o.AwaitRequest = cfg.Known.Index, cfg.Settings.Subscribe
+		o.Known, o.AwaitRequest = cfg.Known.Index, cfg.Settings.SubscribeRequired
 	}
 	o.Updates, o.Requests = l.lists, l.watchRequests
 	if o.Log == nil {
--- a/internal/emulator/hollow/loop.go
+++ b/internal/emulator/hollow/loop.go
@@ -8,6 +8,7 @@
 
 	"baylock/balancer"
 	"baylock/internal/discovery"
+	"baylock/internal/microtime"
 	"baylock/internal/timing"
 )
 
@@ -39,7 +40,7 @@
 	call   Call
 	answer chan Result // takes the one final answer without a wait; nil for a drawn call
 
-	giveUp   int64
+	giveUp   balancer.Microseconds
 	over     bool
 	sends    int // that the module asked for
 	attempts int // that were carried out
@@ -51,7 +52,7 @@
 type attempt struct {
 	request *request
 	number  int
-	sent    int64
+	sent    balancer.Microseconds
 	stop    context.CancelFunc // gives it up; nil if it was not carried out
 }
 
@@ -150,7 +151,7 @@
 	for len(l.unsent) > 0 {
 		a := l.unsent[0]
 		l.unsent = l.unsent[1:]
-		l.outcome(a, balancer.Moot)
+		l.outcome(a, balancer.NotAttempted)
 	}
 }
 
@@ -160,7 +161,7 @@
 	for t := l.timers.TakeDue(now); t != nil; t = l.timers.TakeDue(now) {
 		switch t.Value.kind {
 		case moduleTimer:
-			l.balancer.Timer(now, l, t.Value.token)
+			l.balancer.TimerFired(now, l, t.Value.token)
 		case requestExpiry:
 			l.withdraw(t.Value.request, Result{})
 		case drawnCall:
@@ -173,21 +174,21 @@
 
 // drawNext sets the timer of the next drawn call, if calls are drawn. It counts from when the last one was due: timers
 // are late, and the rate would fall short by that.
-func (l *loop) drawNext(last int64) {
+func (l *loop) drawNext(last balancer.Microseconds) {
 	if l.cfg.CallsPerSecond > 0 {
-		l.timers.Add(timing.NewTimer(last+l.drawer.wait().Microseconds(), due{kind: drawnCall}))
+		l.timers.Add(timing.NewTimer(last+microtime.FromDuration(l.drawer.wait()), due{kind: drawnCall}))
 	}
 }
 
 // list tells the module what a call to discovery brought.
 func (l *loop) list(update discovery.Update) {
 	if update.List == nil {
-		l.balancer.List(l.clock.Now(), l, balancer.Failed, nil)
+		l.balancer.UpdateEndpoints(l.clock.Now(), l, balancer.FailedUpdate, nil)
 		return
 	}
-	kind := balancer.Delta
+	kind := balancer.IncrementalUpdate
 	if update.List.Snapshot {
-		kind = balancer.Full
+		kind = balancer.FullUpdate
 	}
 	l.apply(kind, update.List)
 	if l.cfg.Applied != nil {
@@ -195,8 +196,8 @@
 	}
 }
 
-func (l *loop) apply(kind balancer.ListKind, list *discovery.List) {
-	l.balancer.List(l.clock.Now(), l, kind, l.zones.Servers(list.Endpoints))
+func (l *loop) apply(kind balancer.UpdateKind, list *discovery.List) {
+	l.balancer.UpdateEndpoints(l.clock.Now(), l, kind, l.zones.Servers(list.Endpoints))
 }
 
 // take hands a request to the module. It has until the request's deadline to end it.
@@ -208,13 +209,13 @@
 	now := l.clock.Now()
 	r.giveUp = l.deadline(now, r.call)
 	l.requests[r.call.ID] = r
-	r.expiry = timing.NewTimer(r.giveUp+expireAfter.Microseconds(), due{kind: requestExpiry, request: r})
+	r.expiry = timing.NewTimer(r.giveUp+microtime.FromDuration(expireAfter), due{kind: requestExpiry, request: r})
 	l.timers.Add(r.expiry)
-	l.balancer.Request(now, l, balancer.Request{ID: r.call.ID, Class: r.call.Class, Tenant: r.call.Tenant, Key: r.call.Key,
-		GiveUp: r.giveUp})
+	l.balancer.HandleRequest(now, l, balancer.Request{ID: r.call.ID, Class: r.call.Class, Tenant: r.call.Tenant, Key: r.call.Key,
+		Deadline: r.giveUp})
 }
 
-func (l *loop) deadline(now int64, call Call) int64 {
+func (l *loop) deadline(now balancer.Microseconds, call Call) balancer.Microseconds {
 	if !call.Deadline.IsZero() {
 		return l.clock.At(call.Deadline)
 	}
@@ -254,7 +255,7 @@
 		return
 	}
 	l.end(r, result)
-	l.balancer.Withdrawn(l.clock.Now(), l, r.call.ID)
+	l.balancer.CancelRequest(l.clock.Now(), l, r.call.ID)
 	if r.current != nil {
 		r.current.stop()
 	}
@@ -270,14 +271,14 @@
 		l.end(r, Result{Outcome: Served})
 	}
 	now := l.clock.Now()
-	l.balancer.Outcome(now, l, balancer.Outcome{ID: r.call.ID, Attempt: a.number, Status: status, Took: now - a.sent,
-		Closed: r.over})
+	l.balancer.HandleOutcome(now, l, balancer.Outcome{ID: r.call.ID, Attempt: a.number, Status: status, Latency: now - a.sent,
+		RequestDone: r.over})
 	l.forget(r)
 }
 
 // Send implements balancer.Host. The time lapse, by which a repeat's last byte has to reach the server, needs no care:
 // an attempt goes out at once.
-func (l *loop) Send(id, server string, timeout, _ int64) {
+func (l *loop) Send(id, server string, timeout, _ balancer.Microseconds) {
 	r := l.requests[id]
 	if r == nil { // the module knows only requests of the table
 		panic("hollow proxy: send for the unknown request " + strconv.Quote(id))
@@ -314,10 +315,10 @@
 	})
 }
 
-// Refuse implements balancer.Host.
-func (l *loop) Refuse(id string, after int64) {
+// Reject implements balancer.Host.
+func (l *loop) Reject(id string, after balancer.Microseconds) {
 	if r := l.requests[id]; r != nil {
-		l.end(r, Result{Outcome: Refused, RetryAfter: time.Duration(after) * time.Microsecond})
+		l.end(r, Result{Outcome: Refused, RetryAfter: after.Duration()})
 	}
 }
 
@@ -329,12 +330,12 @@
 }
 
 // SetTimer implements balancer.Host.
-func (l *loop) SetTimer(delay int64, token string) {
+func (l *loop) SetTimer(delay balancer.Microseconds, token string) {
 	l.timers.Add(timing.NewTimer(l.clock.Now()+delay, due{kind: moduleTimer, token: token}))
 }
 
-// Watch implements balancer.Host. Where the list is pushed the watch stands anyway.
-func (l *loop) Watch() {
+// Subscribe implements balancer.Host. Where the list is pushed the watch stands anyway.
+func (l *loop) Subscribe() {
 	select {
 	case l.watchRequests <- struct{}{}:
 	default:
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -91,7 +91,7 @@
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		// With anything behind it the answer is not one that can be believed.
 		if resp.Header.Get("Not-Started") == "1" && c.r.Buffered() == 0 {
-			return result{status: balancer.FullUp}, keep, nil
+			return result{status: balancer.Rejected}, keep, nil
 		}
 	}
 	if c := resp.StatusCode; c >= 400 && c < 500 && c != http.StatusRequestTimeout && c != http.StatusTooManyRequests {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -14,7 +14,7 @@
 type attempt struct {
 	req      *request
 	number   int
-	sent     int64 // when the module decided, or when the last byte of a streamed request went out
+	sent     balancer.Microseconds // when the module decided, or when the last byte of a streamed request went out
 	deadline time.Time
 	lapse    time.Time // a repeat that reached the backend later than this would run again; zero for none
 	pool     *backends
@@ -67,7 +67,7 @@
 			var err error
 			if c, err = a.connect(); err != nil {
 				if a.ctx.Err() != nil || a.lapsed() || errors.Is(err, errNoSockets) {
-					return result{status: balancer.Moot} // stopped before anything was sent, or no fault of the backend's
+					return result{status: balancer.NotAttempted} // stopped before anything was sent, or no fault of the backend's
 				}
 				return result{status: balancer.ConnectFailed}
 			}
@@ -104,10 +104,10 @@
 // is sent for a client that has left.
 func (a *attempt) due() (result, bool) {
 	if a.ctx.Err() != nil || a.late() || a.lapsed() || !a.pool.current(a.backend, a.epoch) {
-		return result{status: balancer.Moot}, false
+		return result{status: balancer.NotAttempted}, false
 	}
 	if a.req.left() {
-		return result{status: balancer.Moot, left: true}, false
+		return result{status: balancer.NotAttempted, left: true}, false
 	}
 	return result{}, true
 }
--- a/internal/proxy/console.go
+++ b/internal/proxy/console.go
@@ -222,8 +222,8 @@
 	default:
 		return
 	}
-	var learned balancer.Learned
-	err := p.loop.do(ctx, func() { learned = p.loop.bal.Learned() })
+	var learned balancer.LearnedState
+	err := p.loop.do(ctx, func() { learned = p.loop.bal.ExportState() })
 	if err == nil {
 		err = p.shared.note(learned)
 	}
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -32,7 +32,7 @@
 	if a.req.rest == nil {
 		var err error
 		if head, err = a.encode(); err != nil {
-			return result{status: balancer.Moot}, true
+			return result{status: balancer.NotAttempted}, true
 		}
 	}
 	var written time.Time
@@ -69,7 +69,7 @@
 // has gone out. Before that a backend can only turn it away.
 func (a *attempt) send(c *conn) (res result, ok bool) {
 	a.req.rest.resume()
-	w := &stalling{a: a, c: c, said: make(chan bool, 1), none: result{status: balancer.Moot}}
+	w := &stalling{a: a, c: c, said: make(chan bool, 1), none: result{status: balancer.NotAttempted}}
 	_ = c.SetReadDeadline(time.Time{})
 	err := a.out(io.MultiReader(bytes.NewReader(a.req.body), a.req.rest)).Write(w)
 	now := time.Now()
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -116,7 +116,7 @@
 	}
 	defer req.lease.end()
 	if f.bound.Load() {
-		req.Lines, req.Spare = f.clients.lines()
+		req.ClientConnections, req.IdleConnections = f.clients.lines()
 	}
 	l := f.loop
 	l.post(func() { l.take(req) })
@@ -246,21 +246,21 @@
 		return bad(http.StatusBadRequest, "no Request-Id, or a long one")
 	}
 	k, method := now.logic.Classes[class], http.MethodPost
-	if k.Repeat == balancer.Safe {
+	if k.Idempotency == balancer.Idempotent {
 		method = http.MethodGet
 	}
 	if r.Method != method {
 		w.Header().Set("Allow", method)
 		return bad(http.StatusMethodNotAllowed, "wrong method for the class")
 	}
-	if keyed := r.Header.Get("Idempotency-Key") != ""; keyed != (k.Repeat == balancer.Keyed) {
+	if keyed := r.Header.Get("Idempotency-Key") != ""; keyed != (k.Idempotency == balancer.IdempotentWithKey) {
 		return bad(http.StatusBadRequest, "Idempotency-Key does not fit the class")
 	}
 	ms, err := strconv.ParseInt(r.Header.Get("Request-Timeout-Ms"), 10, 64)
 	if err != nil || ms < 0 { // a caller may have less than one left
 		return bad(http.StatusBadRequest, "Request-Timeout-Ms is no time")
 	}
-	wait := min(time.Duration(k.Deadline)*time.Microsecond, time.Duration(min(ms, 1e9))*time.Millisecond)
+	wait := min(k.Deadline.Duration(), time.Duration(min(ms, 1e9))*time.Millisecond)
 	switch {
 	case r.ContentLength > maxBody:
 		return bad(http.StatusRequestEntityTooLarge, "the body is too large")
@@ -285,7 +285,7 @@
 	req.header = passOn(r.Header)
 	req.came = f.loop.clock.Now()
 	req.Request = balancer.Request{ID: id, Class: class, Tenant: tenant, Key: rest[strings.LastIndexByte(rest, '/')+1:],
-		GiveUp: f.loop.clock.At(time.Now().Add(req.wait)), Streamed: req.rest != nil}
+		Deadline: f.loop.clock.At(time.Now().Add(req.wait)), Streaming: req.rest != nil}
 	return req, answer{}
 }
 
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -11,6 +11,7 @@
 
 	"baylock/balancer"
 	"baylock/internal/discovery"
+	"baylock/internal/microtime"
 	"baylock/internal/timing"
 )
 
@@ -28,10 +29,10 @@
 	method string
 	uri    string // path and query as they came
 	host   string
-	header http.Header // what goes on to the backend
-	body   []byte      // what is held of the body
-	rest   *upload     // what is not; nil if all of it is held
-	came   int64       // when its last byte had come
+	header http.Header           // what goes on to the backend
+	body   []byte                // what is held of the body
+	rest   *upload               // what is not; nil if all of it is held
+	came   balancer.Microseconds // when its last byte had come
 	wait   time.Duration
 	lease  *lease      // for what is held
 	left   func() bool // whether its client has left
@@ -50,8 +51,8 @@
 	status  int
 	body    []byte
 	content string
-	after   int64     // of a refusal: come again after this, in microseconds; 0 for no word
-	stream  *download // in place of a body: it is passed on as it comes
+	after   balancer.Microseconds // of a refusal: come again after this, in microseconds; 0 for no word
+	stream  *download             // in place of a body: it is passed on as it comes
 }
 
 // due is what a timer of the loop is for: a token of the module's, or the end of a request's time.
@@ -81,10 +82,10 @@
 	timers   timing.Queue[due]
 	unsent   []*attempt // Sends that cannot be carried out; their outcomes follow the present event
 	attempts sync.WaitGroup
-	ctx      context.Context // of all attempts
-	cutoff   int64           // after SIGTERM: nothing waits beyond this; else 0
-	lastCall int64           // where another process takes over: what comes later gets no long answer; else 0
-	done     chan struct{}   // closed when the loop has ended
+	ctx      context.Context       // of all attempts
+	cutoff   balancer.Microseconds // after SIGTERM: nothing waits beyond this; else 0
+	lastCall balancer.Microseconds // where another process takes over: what comes later gets no long answer; else 0
+	done     chan struct{}         // closed when the loop has ended
 }
 
 func newLoop(bal *balancer.Balancer, c timing.Clock, pool *backends, z discovery.Zones, log *slog.Logger) *loop {
@@ -145,7 +146,7 @@
 	for len(l.unsent) > 0 {
 		a := l.unsent[0]
 		l.unsent = l.unsent[1:]
-		l.outcome(a, result{status: balancer.Moot})
+		l.outcome(a, result{status: balancer.NotAttempted})
 	}
 }
 
@@ -154,7 +155,7 @@
 	now := l.clock.Now()
 	for t := l.timers.TakeDue(now); t != nil; t = l.timers.TakeDue(now) {
 		if t.Value.req == nil {
-			l.bal.Timer(now, l, t.Value.token)
+			l.bal.TimerFired(now, l, t.Value.token)
 		} else {
 			l.expire(t.Value.req)
 		}
@@ -164,13 +165,13 @@
 
 // list applies what discovery said, to the connections first and then to the module.
 func (l *loop) list(u discovery.Update) {
-	kind := balancer.Delta
+	kind := balancer.IncrementalUpdate
 	if u.List == nil {
-		l.bal.List(l.clock.Now(), l, balancer.Failed, nil)
+		l.bal.UpdateEndpoints(l.clock.Now(), l, balancer.FailedUpdate, nil)
 		return
 	}
 	if u.List.Snapshot {
-		kind = balancer.Full
+		kind = balancer.FullUpdate
 	}
 	l.apply(kind, u.List)
 	l.settle()
@@ -199,13 +200,13 @@
 	l.out = out
 }
 
-func (l *loop) apply(kind balancer.ListKind, list *discovery.List) {
-	l.pool.apply(kind != balancer.Delta, list.Endpoints)
-	l.bal.List(l.clock.Now(), l, kind, l.zones.Servers(list.Endpoints))
+func (l *loop) apply(kind balancer.UpdateKind, list *discovery.List) {
+	l.pool.apply(kind != balancer.IncrementalUpdate, list.Endpoints)
+	l.bal.UpdateEndpoints(l.clock.Now(), l, kind, l.zones.Servers(list.Endpoints))
 	select {
 	case <-l.listed:
 	default:
-		if kind == balancer.Full || len(list.Endpoints) > 0 {
+		if kind == balancer.FullUpdate || len(list.Endpoints) > 0 {
 			close(l.listed)
 		}
 	}
@@ -221,16 +222,16 @@
 		return
 	}
 	if l.cutoff > 0 {
-		r.GiveUp = min(r.GiveUp, l.cutoff)
+		r.Deadline = min(r.Deadline, l.cutoff)
 	}
 	l.reqs[r.ID] = r
-	expiry := r.GiveUp + expireAfter.Microseconds()
+	expiry := r.Deadline + microtime.FromDuration(expireAfter)
 	if r.rest != nil && l.cutoff == 0 { // its time has not begun
 		expiry = math.MaxInt64
 	}
 	r.time = timing.NewTimer(expiry, due{req: r})
 	l.timers.Add(r.time)
-	l.bal.Request(l.clock.Now(), l, r.Request)
+	l.bal.HandleRequest(l.clock.Now(), l, r.Request)
 }
 
 // end gives a request its final answer, if it has none yet.
@@ -257,12 +258,12 @@
 		return
 	}
 	a.sent, r.came = l.clock.At(at), l.clock.At(at)
-	r.GiveUp = l.clock.At(at.Add(r.wait))
+	r.Deadline = l.clock.At(at.Add(r.wait))
 	if l.cutoff > 0 {
-		r.GiveUp = min(r.GiveUp, l.cutoff)
+		r.Deadline = min(r.Deadline, l.cutoff)
 	}
-	l.timers.Move(r.time, r.GiveUp+expireAfter.Microseconds())
-	l.bal.Uploaded(a.sent, r.ID, r.GiveUp)
+	l.timers.Move(r.time, r.Deadline+microtime.FromDuration(expireAfter))
+	l.bal.RequestUploaded(a.sent, r.ID, r.Deadline)
 }
 
 // begin gives a request its final answer while that still comes. Its time was that of its first bytes, and for the
@@ -281,7 +282,7 @@
 	a.began = true
 	l.end(r, answer{status: http.StatusOK, content: d.content, stream: d})
 	now := l.clock.Now()
-	l.bal.Outcome(now, l, balancer.Outcome{ID: r.ID, Attempt: a.number, Status: balancer.OK, Took: now - a.sent, Closed: true})
+	l.bal.HandleOutcome(now, l, balancer.Outcome{ID: r.ID, Attempt: a.number, Status: balancer.OK, Latency: now - a.sent, RequestDone: true})
 }
 
 // withdraw ends a request that nobody waits for any more, and its attempt.
@@ -293,7 +294,7 @@
 		return
 	}
 	l.end(r, ans)
-	l.bal.Withdrawn(l.clock.Now(), l, r.ID)
+	l.bal.CancelRequest(l.clock.Now(), l, r.ID)
 	if r.current != nil {
 		r.current.stop()
 	}
@@ -307,7 +308,7 @@
 }
 
 // hurry is for SIGTERM: all requests end by cutoff, since the process may be killed soon after.
-func (l *loop) hurry(cutoff, lastCall int64) {
+func (l *loop) hurry(cutoff, lastCall balancer.Microseconds) {
 	l.cutoff, l.lastCall = cutoff, lastCall
 	for _, r := range l.reqs {
 		if r.time.Due() > cutoff {
@@ -335,23 +336,23 @@
 	if res.fault != 0 {
 		// The client's fault is no evidence against the backend, and another would say the same.
 		l.end(r, answer{status: res.fault})
-		res.status = balancer.Moot
+		res.status = balancer.NotAttempted
 	}
 	now := l.clock.Now()
-	l.bal.Outcome(now, l, balancer.Outcome{ID: r.ID, Attempt: a.number, Status: res.status, Took: now - a.sent,
-		Closed: r.over, Spent: res.spent})
+	l.bal.HandleOutcome(now, l, balancer.Outcome{ID: r.ID, Attempt: a.number, Status: res.status, Latency: now - a.sent,
+		RequestDone: r.over, BodyConsumed: res.spent})
 	l.forget(r)
 }
 
 // Send implements balancer.Host.
-func (l *loop) Send(id, server string, timeout, lapse int64) {
+func (l *loop) Send(id, server string, timeout, lapse balancer.Microseconds) {
 	r := l.reqs[id]
 	if r == nil {
 		l.log.Error("send for an unknown request", "id", id)
 		return
 	}
 	now := l.clock.Now()
-	until := r.GiveUp
+	until := r.Deadline
 	if timeout != 0 {
 		until = min(until, now+timeout)
 	}
@@ -366,7 +367,7 @@
 		l.unsent = append(l.unsent, a)
 		return
 	}
-	wait := time.Duration(until-now) * time.Microsecond
+	wait := (until - now).Duration()
 	a.uploaded = func(at time.Time) time.Time {
 		l.post(func() { l.uploaded(a, at) })
 		return at.Add(wait)
@@ -383,8 +384,8 @@
 	}()
 }
 
-// Refuse implements balancer.Host.
-func (l *loop) Refuse(id string, after int64) {
+// Reject implements balancer.Host.
+func (l *loop) Reject(id string, after balancer.Microseconds) {
 	if r := l.reqs[id]; r != nil {
 		l.end(r, answer{status: http.StatusServiceUnavailable, after: after})
 	}
@@ -398,12 +399,12 @@
 }
 
 // SetTimer implements balancer.Host.
-func (l *loop) SetTimer(delay int64, token string) {
+func (l *loop) SetTimer(delay balancer.Microseconds, token string) {
 	l.timers.Add(timing.NewTimer(l.clock.Now()+delay, due{token: token}))
 }
 
-// Watch implements balancer.Host. Where the list is pushed the watch stands anyway.
-func (l *loop) Watch() {
+// Subscribe implements balancer.Host. Where the list is pushed the watch stands anyway.
+func (l *loop) Subscribe() {
 	select {
 	case l.asked <- struct{}{}:
 	default:
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -101,7 +101,7 @@
 	}
 	l.detached(sh.now)
 	if cfg.Known != nil {
-		l.apply(balancer.Cached, cfg.Known)
+		l.apply(balancer.CachedUpdate, cfg.Known)
 	}
 	for id, at := range sh.now.Back { // put back by hand a short while ago
 		bal.Detach(id)
@@ -117,7 +117,7 @@
 	} else if learned, ok, err := sh.learned(); err != nil {
 		cfg.Log.Error("what was learned is not taken", "error", err)
 	} else if ok {
-		bal.Learn(learned)
+		bal.ImportState(learned)
 	}
 	return p, nil
 }
@@ -206,7 +206,7 @@
 	p.shared.shut()
 	window := min(p.loop.inForce.Load().longestAt(told), killAfter) + killLeeway
 	cutoff := told.Add(window)
-	lastCall := int64(0)
+	lastCall := balancer.Microseconds(0)
 	if p.front.succeeded.Load() {
 		lastCall = p.loop.clock.At(told.Add(takenLate))
 	}
@@ -253,14 +253,14 @@
 // versions of two addresses do not compare, and only when the old one has ended, so that nothing of the old
 // follows the new. Until the new one has answered the old list stands.
 func (p *Proxy) watch(ctx context.Context) {
-	subscribe := p.cfg.Site.Logic.Subscribe && p.cfg.Known != nil // with no list at all nobody says when to ask
+	subscribe := p.cfg.Site.Balancer.SubscribeRequired && p.cfg.Known != nil // with no list at all nobody says when to ask
 	known := discovery.NoVersion
 	if p.cfg.Known != nil {
 		known = p.cfg.Known.Index
 	}
 	for addr := p.cfg.Discovery; ctx.Err() == nil; known, subscribe = discovery.NoVersion, false {
 		one, stop := context.WithCancel(ctx)
-		client := discovery.NewClient(discovery.Options{Address: addr, Known: known, Ask: p.cfg.Site.Logic.Subscribe,
+		client := discovery.NewClient(discovery.Options{Address: addr, Known: known, Ask: p.cfg.Site.Balancer.SubscribeRequired,
 			AwaitRequest: subscribe, Updates: p.loop.lists, Requests: p.loop.asked, Log: p.cfg.Log})
 		var part sync.WaitGroup
 		part.Go(func() { client.Run(one) })
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -41,11 +41,11 @@
 	if forClients, _ := divide(cfg.Sockets); forClients < leastEach {
 		return nil, fmt.Errorf("limits: %d sockets are too few", cfg.Sockets)
 	}
-	s := &snapshot{site: cfg.Site, logic: cfg.Site.Logic, classes: numbers(cfg.Site.Classes),
+	s := &snapshot{site: cfg.Site, logic: cfg.Site.Balancer, classes: numbers(cfg.Site.Classes),
 		tenants: numbers(cfg.Site.Tenants), sockets: cfg.Sockets, memoryMB: cfg.MemoryMB, cores: cfg.Cores,
 		version: cfg.Version, taken: time.Now()}
 	for _, c := range s.logic.Classes {
-		s.longest = max(s.longest, time.Duration(c.Deadline)*time.Microsecond)
+		s.longest = max(s.longest, c.Deadline.Duration())
 	}
 	// Zones keep the numbers of the start, as the module compares servers and attempts by them.
 	if z := s.logic.Zone; z >= 0 && z < len(cfg.Site.Zones) {
@@ -194,7 +194,7 @@
 func (s *snapshot) renumber(r *request) error {
 	was := r.snapshot.site
 	class, ok := s.classes[was.Classes[r.Class]]
-	if !ok || s.logic.Classes[class].Repeat != was.Logic.Classes[r.Class].Repeat {
+	if !ok || s.logic.Classes[class].Idempotency != was.Balancer.Classes[r.Class].Idempotency {
 		return errOtherClass
 	}
 	r.Class = class
--- a/internal/proxy/shared.go
+++ b/internal/proxy/shared.go
@@ -46,10 +46,10 @@
 
 // state is what operators have said: it holds for all processes of a proxy and outlives each of them.
 type state struct {
-	Version  int64            `json:"version"`
-	Detached []string         `json:"detached"`
-	Back     map[string]int64 `json:"back,omitempty"` // when backends were attached, in Unix microseconds
-	LameDuck bool             `json:"lame_duck"`
+	Version  int64                            `json:"version"`
+	Detached []string                         `json:"detached"`
+	Back     map[string]balancer.Microseconds `json:"back,omitempty"` // when backends were attached, in Unix microseconds
+	LameDuck bool                             `json:"lame_duck"`
 }
 
 // shared is what the processes of one proxy have in common while a new version takes over from an old one: the
@@ -184,8 +184,8 @@
 	next := state{Version: s.now.Version + 1, Detached: slices.Clone(s.now.Detached), Back: maps.Clone(s.now.Back),
 		LameDuck: s.now.LameDuck}
 	f(&next)
-	old := time.Now().Add(-backKept).UnixMicro()
-	maps.DeleteFunc(next.Back, func(_ string, at int64) bool { return at < old })
+	old := balancer.Microseconds(time.Now().Add(-backKept).UnixMicro())
+	maps.DeleteFunc(next.Back, func(_ string, at balancer.Microseconds) bool { return at < old })
 	if err := s.write(next); err != nil {
 		return fmt.Errorf("shared state: %w", err)
 	}
@@ -215,12 +215,12 @@
 
 // noted is what the module has learned, in a file beside the state.
 type noted struct {
-	At      time.Time        `json:"at"`
-	Learned balancer.Learned `json:"learned"`
+	At      time.Time             `json:"at"`
+	Learned balancer.LearnedState `json:"learned"`
 }
 
 // note writes down what the module has learned, for a new version that takes over.
-func (s *shared) note(l balancer.Learned) error {
+func (s *shared) note(l balancer.LearnedState) error {
 	data, err := json.Marshal(noted{time.Now(), l})
 	if err != nil {
 		return err
@@ -230,7 +230,7 @@
 
 // learned reads what the module of the process beside this one has learned; ok is false where nobody has noted it
 // lately.
-func (s *shared) learned() (l balancer.Learned, ok bool, err error) {
+func (s *shared) learned() (l balancer.LearnedState, ok bool, err error) {
 	data, err := os.ReadFile(s.path + ".learned")
 	if errors.Is(err, os.ErrNotExist) {
 		return l, false, nil
@@ -257,8 +257,8 @@
 	if i := slices.Index(st.Detached, id); i >= 0 {
 		st.Detached = slices.Delete(st.Detached, i, i+1)
 		if st.Back == nil {
-			st.Back = map[string]int64{}
+			st.Back = map[string]balancer.Microseconds{}
 		}
-		st.Back[id] = now.UnixMicro()
+		st.Back[id] = balancer.Microseconds(now.UnixMicro())
 	}
 }
--- a/internal/scale/depth/chain.go
+++ b/internal/scale/depth/chain.go
@@ -32,17 +32,17 @@
 var classNames = []string{safeClass: "safe", keyedClass: "keyed", unsafeClass: "unsafe"}
 
 var classes = []balancer.Class{
-	safeClass:   {Aim: 300_000, Deadline: 1_000_000, Worth: 1, LateWorth: 0.25, Repeat: balancer.Safe},
-	keyedClass:  {Aim: 300_000, Deadline: 1_000_000, Worth: 1, LateWorth: 0.25, Repeat: balancer.Keyed, Window: 2_000_000},
-	unsafeClass: {Aim: 300_000, Deadline: 1_000_000, Worth: 1, LateWorth: 0.25, Repeat: balancer.Unsafe},
+	safeClass:   {LatencyObjective: 300_000, Deadline: 1_000_000, PriorityWeight: 1, LateFraction: 0.25, Idempotency: balancer.Idempotent},
+	keyedClass:  {LatencyObjective: 300_000, Deadline: 1_000_000, PriorityWeight: 1, LateFraction: 0.25, Idempotency: balancer.IdempotentWithKey, DedupWindow: 2_000_000},
+	unsafeClass: {LatencyObjective: 300_000, Deadline: 1_000_000, PriorityWeight: 1, LateFraction: 0.25, Idempotency: balancer.NotIdempotent},
 }
 
 // settings are those of a proxy that sends to the tier after stage. No retry budget is stated, so that the module keeps
 // its own.
 func settings(stage, siblings, ordinal int) balancer.Settings {
-	return balancer.Settings{Stage: stage, Siblings: siblings, Ordinal: ordinal, Zone: ordinal % len(zones), Zones: len(zones),
+	return balancer.Settings{Tier: stage, Replicas: siblings, ReplicaIndex: ordinal, Zone: ordinal % len(zones), Zones: len(zones),
 		Classes: classes, MaxAttempts: 4, MaxRetryAfter: 2_000_000, DrainGrace: 300_000,
-		StartCapacity: 0.3, TipMultiple: 3, Cold: 8_000_000}
+		SlowStartCapacity: 0.3, SlowStartOverload: 3, SlowStartDuration: 8_000_000}
 }
 
 // chain is tiers of backends, one behind the other, with proxies in front of the first and one at each backend but the
--- a/internal/scale/depth/play.go
+++ b/internal/scale/depth/play.go
@@ -155,7 +155,7 @@
 	u := &userCall{begun: time.Since(p.start), class: p.class()}
 	front := p.chain.fronts[p.random.IntN(len(p.chain.fronts))]
 	p.record.calls = append(p.record.calls, u)
-	deadline := p.start.Add(u.begun + time.Duration(classes[u.class].Deadline)*time.Microsecond)
+	deadline := p.start.Add(u.begun + classes[u.class].Deadline.Duration())
 	call := hollow.Call{ID: "user/" + strconv.Itoa(len(p.record.calls)), Class: u.class, Deadline: deadline, Depth: 1}
 	p.open.Go(func() {
 		u.outcome = front.Call(ctx, call).Outcome
--- a/internal/scale/propagation/watcher.go
+++ b/internal/scale/propagation/watcher.go
@@ -94,8 +94,8 @@
 // settings are the same for all proxies but for their place. No calls come, so that most do not matter.
 func (w *watcher) settings(ask bool) balancer.Settings {
 	const millisecond, second = 1000, 1_000_000
-	return balancer.Settings{Stage: 1, Siblings: w.ordinal + 1, Ordinal: w.ordinal, Zone: w.zone, Zones: len(zones()),
-		Classes:   []balancer.Class{{Aim: second, Deadline: 2 * second, Worth: 1}},
-		Subscribe: ask, AskEvery: 10 * second, MaxAttempts: 3, DrainGrace: 500 * millisecond,
-		StartCapacity: 0.3, TipMultiple: 3, Cold: 8 * second}
+	return balancer.Settings{Tier: 1, Replicas: w.ordinal + 1, ReplicaIndex: w.ordinal, Zone: w.zone, Zones: len(zones()),
+		Classes:           []balancer.Class{{LatencyObjective: second, Deadline: 2 * second, PriorityWeight: 1}},
+		SubscribeRequired: ask, MaxPollInterval: 10 * second, MaxAttempts: 3, DrainGrace: 500 * millisecond,
+		SlowStartCapacity: 0.3, SlowStartOverload: 3, SlowStartDuration: 8 * second}
 }
--- a/internal/scale/ramp/service.go
+++ b/internal/scale/ramp/service.go
@@ -13,6 +13,7 @@
 	"baylock/internal/emulator/backend"
 	"baylock/internal/emulator/hollow"
 	"baylock/internal/emulator/registry"
+	"baylock/internal/microtime"
 )
 
 const (
@@ -34,7 +35,7 @@
 
 var zones = []string{"zone-a", "zone-b", "zone-c", "zone-d", "zone-e"}
 
-var classes = []balancer.Class{{Aim: 400_000, Deadline: 1_500_000, Worth: 1, LateWorth: 0.25, Repeat: balancer.Safe}}
+var classes = []balancer.Class{{LatencyObjective: 400_000, Deadline: 1_500_000, PriorityWeight: 1, LateFraction: 0.25, Idempotency: balancer.Idempotent}}
 
 // service is backends, discovery, and the proxies whose calls they get.
 type service struct {
@@ -89,9 +90,9 @@
 	for i := range c.callers {
 		name, zone := fmt.Sprintf("proxy-%d", i), i%len(zones)
 		p, err := hollow.New(hollow.Config{Name: name, Zones: zones, Seed: seeds.Uint64(), Upstream: svc.tier,
-			Settings: balancer.Settings{Stage: 1, Siblings: c.callers, Ordinal: i, Zone: zone, Zones: len(zones), Classes: classes,
+			Settings: balancer.Settings{Tier: 1, Replicas: c.callers, ReplicaIndex: i, Zone: zone, Zones: len(zones), Classes: classes,
 				MaxAttempts: 4, MaxRetryAfter: 2_000_000, DrainGrace: 300_000,
-				StartCapacity: startCapacity, TipMultiple: c.tipMultiple, Cold: coldSpan.Microseconds()},
+				SlowStartCapacity: startCapacity, SlowStartOverload: c.tipMultiple, SlowStartDuration: microtime.FromDuration(coldSpan)},
 			Discovery: discovery.Options{Address: "discovery:80",
 				Dial: svc.registry.Dialer(list, registry.Location{Name: name, Zone: zones[zone], Region: region})},
 			CallsPerSecond: c.load * warmRate * float64(s.backends) / float64(c.callers),
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -18,10 +18,10 @@
 
 // Site is what the settings object says: the module's part and the names and figures of the sockets.
 type Site struct {
-	Logic   balancer.Settings
-	Classes []string // names, in the order of Logic.Classes
-	Tenants []string // names, in the order of Logic.Tenants
-	Zones   []string
+	Balancer balancer.Settings
+	Classes  []string // names, in the order of Logic.Classes
+	Tenants  []string // names, in the order of Logic.Tenants
+	Zones    []string
 
 	DialTimeout time.Duration // a connection that is not up by then has failed
 	IdleClose   time.Duration // a backend closes a connection that has been idle this long
@@ -30,38 +30,38 @@
 // object is the settings object as it stands on the wire.
 type object struct {
 	Contract struct {
-		AskEvery      int64   `json:"ask_every_us"`
-		BusyNoProof   bool    `json:"busy_is_no_proof"`
-		OrderSettle   int64   `json:"order_settle_us"`
-		RatioSpan     int64   `json:"ratio_span_us"`
-		ResendRatio   float64 `json:"resend_ratio"`
-		Spare         float64 `json:"spare_attempts"`
-		Cold          int64   `json:"cold_us"`
-		DrainGrace    int64   `json:"drain_grace_us"`
-		StartCapacity float64 `json:"start_capacity"`
-		TipMultiple   float64 `json:"tip_multiple"`
+		AskEvery      balancer.Microseconds `json:"ask_every_us"`
+		BusyNoProof   bool                  `json:"busy_is_no_proof"`
+		OrderSettle   balancer.Microseconds `json:"order_settle_us"`
+		RatioSpan     balancer.Microseconds `json:"ratio_span_us"`
+		ResendRatio   float64               `json:"resend_ratio"`
+		Spare         float64               `json:"spare_attempts"`
+		Cold          balancer.Microseconds `json:"cold_us"`
+		DrainGrace    balancer.Microseconds `json:"drain_grace_us"`
+		StartCapacity float64               `json:"start_capacity"`
+		TipMultiple   float64               `json:"tip_multiple"`
 	} `json:"contract"`
 	CountedBy string   `json:"counted_by"`
 	Zones     []string `json:"failure_domains"`
 	Limits    struct {
-		DialTimeout   int64 `json:"dial_timeout_us"`
-		IdleClose     int64 `json:"idle_close_us"`
-		MaxRetryAfter int64 `json:"max_retry_after_us"`
-		RetryAfter    bool  `json:"retry_after"`
-		TryLimit      int   `json:"try_limit"`
+		DialTimeout   balancer.Microseconds `json:"dial_timeout_us"`
+		IdleClose     balancer.Microseconds `json:"idle_close_us"`
+		MaxRetryAfter balancer.Microseconds `json:"max_retry_after_us"`
+		RetryAfter    bool                  `json:"retry_after"`
+		TryLimit      int                   `json:"try_limit"`
 	} `json:"limits"`
 	Membership string `json:"membership_mode"`
 	Zone       int    `json:"my_zone"`
 	Profiles   []struct {
-		ByArrival bool    `json:"by_arrival"`
-		Scope     string  `json:"dedup_scope"`
-		Window    int64   `json:"dedup_window_us"`
-		GiveUp    int64   `json:"give_up_us"`
-		LateShare float64 `json:"late_share"`
-		Name      string  `json:"name"`
-		Objective int64   `json:"objective_us"`
-		Repeat    string  `json:"repeat"`
-		Worth     float64 `json:"worth"`
+		ByArrival bool                  `json:"by_arrival"`
+		Scope     string                `json:"dedup_scope"`
+		Window    balancer.Microseconds `json:"dedup_window_us"`
+		GiveUp    balancer.Microseconds `json:"give_up_us"`
+		LateShare float64               `json:"late_share"`
+		Name      string                `json:"name"`
+		Objective balancer.Microseconds `json:"objective_us"`
+		Repeat    string                `json:"repeat"`
+		Worth     float64               `json:"worth"`
 	} `json:"profiles"`
 	Siblings int `json:"siblings"`
 	Ordinal  int `json:"ordinal"`
@@ -81,11 +81,11 @@
 		return nil, err
 	}
 	site := &Site{Zones: o.Zones,
-		DialTimeout: time.Duration(o.Limits.DialTimeout) * time.Microsecond,
-		IdleClose:   time.Duration(o.Limits.IdleClose) * time.Microsecond,
+		DialTimeout: o.Limits.DialTimeout.Duration(),
+		IdleClose:   o.Limits.IdleClose.Duration(),
 	}
 	var err error
-	if site.Logic, err = o.logic(); err != nil {
+	if site.Balancer, err = o.logic(); err != nil {
 		return nil, err
 	}
 	for _, p := range o.Profiles {
@@ -151,21 +151,21 @@
 
 // logic turns the object into the module's settings.
 func (o *object) logic() (balancer.Settings, error) {
-	repeats := map[string]balancer.Repeat{
-		"idempotent": balancer.Safe, "deduplicated": balancer.Keyed, "at_most_once": balancer.Unsafe,
+	repeats := map[string]balancer.Idempotency{
+		"idempotent": balancer.Idempotent, "deduplicated": balancer.IdempotentWithKey, "at_most_once": balancer.NotIdempotent,
 	}
-	groups := map[string]balancer.Group{
-		"": balancer.GroupAll, "all": balancer.GroupAll, "zone": balancer.GroupZone, "cell": balancer.GroupCell,
+	groups := map[string]balancer.DedupScope{
+		"": balancer.DedupTier, "all": balancer.DedupTier, "zone": balancer.DedupZone, "cell": balancer.DedupCell,
 	}
 	s := balancer.Settings{
-		Stage: o.Stage, Siblings: o.Siblings, Ordinal: o.Ordinal, Zone: o.Zone, Zones: len(o.Zones),
-		Subscribe: o.Membership == "subscribe", SizeHints: o.Weights != "" && o.Weights != "off",
-		MaxAttempts: o.Limits.TryLimit, FullMayRun: o.Contract.BusyNoProof,
-		OrderSettle: o.Contract.OrderSettle,
-		BudgetSpan:  o.Contract.RatioSpan, BudgetFree: o.Contract.Spare, BudgetShare: o.Contract.ResendRatio,
-		DrainGrace: o.Contract.DrainGrace,
-		AskEvery:   o.Contract.AskEvery, StartCapacity: o.Contract.StartCapacity, TipMultiple: o.Contract.TipMultiple, Cold: o.Contract.Cold,
-		ByWork: o.CountedBy == "work",
+		Tier: o.Stage, Replicas: o.Siblings, ReplicaIndex: o.Ordinal, Zone: o.Zone, Zones: len(o.Zones),
+		SubscribeRequired: o.Membership == "subscribe", CapacityHints: o.Weights != "" && o.Weights != "off",
+		MaxAttempts: o.Limits.TryLimit, RejectedMayRun: o.Contract.BusyNoProof,
+		OrderedKeyCooldown: o.Contract.OrderSettle,
+		RetryBudgetWindow:  o.Contract.RatioSpan, RetryBudgetMin: o.Contract.Spare, RetryBudgetRatio: o.Contract.ResendRatio,
+		DrainGrace:      o.Contract.DrainGrace,
+		MaxPollInterval: o.Contract.AskEvery, SlowStartCapacity: o.Contract.StartCapacity, SlowStartOverload: o.Contract.TipMultiple, SlowStartDuration: o.Contract.Cold,
+		WeighByWork: o.CountedBy == "work",
 	}
 	if o.Membership != "automatic" && o.Membership != "subscribe" {
 		return s, fmt.Errorf("membership_mode: unknown word %q", o.Membership)
@@ -182,15 +182,15 @@
 		if !ok {
 			return s, fmt.Errorf("profiles[%d].dedup_scope: unknown word %q", i, p.Scope)
 		}
-		if repeat == balancer.Keyed && p.Scope == "" { // who drops its repeats is not told: its own cell at least
-			group = balancer.GroupCell
+		if repeat == balancer.IdempotentWithKey && p.Scope == "" { // who drops its repeats is not told: its own cell at least
+			group = balancer.DedupCell
 		}
-		s.Classes = append(s.Classes, balancer.Class{Name: p.Name, Aim: p.Objective, Deadline: p.GiveUp, Worth: p.Worth,
-			LateWorth: p.LateShare, Repeat: repeat, Group: group, Window: p.Window,
-			ByArrival: p.ByArrival})
+		s.Classes = append(s.Classes, balancer.Class{Name: p.Name, LatencyObjective: p.Objective, Deadline: p.GiveUp, PriorityWeight: p.Worth,
+			LateFraction: p.LateShare, Idempotency: repeat, DedupScope: group, DedupWindow: p.Window,
+			OrderedByKey: p.ByArrival})
 	}
 	for _, t := range o.Tenants {
-		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Portion: t.Portion, Quota: t.Quota})
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Share: t.Portion, RateQuota: t.Quota})
 	}
 	return s, nil
 }
--- a/internal/timing/queue.go
+++ b/internal/timing/queue.go
@@ -1,6 +1,10 @@
 package timing
 
-import "container/heap"
+import (
+	"container/heap"
+
+	"baylock/internal/microtime"
+)
 
 // outside is the position of a timer that is in no queue.
 const outside = -1
@@ -8,17 +12,17 @@
 // Timer is an entry of a Queue: what is due, and when on a Clock. NewTimer makes it.
 type Timer[T any] struct {
 	Value    T
-	due      int64
+	due      microtime.Microseconds
 	position int
 }
 
 // NewTimer returns a timer that is in no queue yet. due is in microseconds of a Clock.
-func NewTimer[T any](due int64, value T) *Timer[T] {
+func NewTimer[T any](due microtime.Microseconds, value T) *Timer[T] {
 	return &Timer[T]{Value: value, due: due, position: outside}
 }
 
 // Due is when the timer is due, in microseconds of a Clock.
-func (t *Timer[T]) Due() int64 { return t.due }
+func (t *Timer[T]) Due() microtime.Microseconds { return t.due }
 
 // Queue holds timers, the next one first. A timer is in one queue at most. The zero Queue is empty and ready for use;
 // it is not safe for concurrent use.
@@ -38,7 +42,7 @@
 }
 
 // Move has a timer be due at another time, unless it is out already.
-func (q *Queue[T]) Move(t *Timer[T], due int64) {
+func (q *Queue[T]) Move(t *Timer[T], due microtime.Microseconds) {
 	if t.position != outside {
 		t.due = due
 		heap.Fix(&q.timers, t.position)
@@ -46,7 +50,7 @@
 }
 
 // Next is when the next timer is due; ok is false if there is none.
-func (q *Queue[T]) Next() (due int64, ok bool) {
+func (q *Queue[T]) Next() (due microtime.Microseconds, ok bool) {
 	if len(q.timers) == 0 {
 		return 0, false
 	}
@@ -54,7 +58,7 @@
 }
 
 // TakeDue takes out the next timer that is due by now, or returns nil.
-func (q *Queue[T]) TakeDue(now int64) *Timer[T] {
+func (q *Queue[T]) TakeDue(now microtime.Microseconds) *Timer[T] {
 	if due, ok := q.Next(); !ok || due > now {
 		return nil
 	}
