--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"baylock/balancer"
+	"baylock/internal/message"
 )
 
 const (
@@ -27,7 +28,7 @@
 		_, err := c.r.Peek(n)
 		b, _ := c.r.Peek(c.r.Buffered())
 		if end := bytes.Index(b, []byte("\r\n\r\n")); end >= 0 {
-			if twoFramings(b[:end]) {
+			if message.HasConflictingFraming(b[:end]) {
 				return errors.New("two framings")
 			}
 			if len(statusLine.FindAllIndex(b[:end], 2)) > 1 { // one head broke off, and another went on in its place
@@ -44,12 +45,6 @@
 
 var statusLine = regexp.MustCompile(`HTTP/1\.[01] [1-5][0-9][0-9]\b`)
 
-// twoFramings tells whether a head says in two ways where its body ends.
-func twoFramings(head []byte) bool {
-	h := bytes.ToLower(head)
-	return bytes.Contains(h, []byte("\ncontent-length")) && bytes.Contains(h, []byte("\ntransfer-encoding"))
-}
-
 // read takes the answer. A short one is taken whole, so that one that breaks off has not been given; what is longer is
 // passed on as it comes.
 func (a *attempt) read(c *conn) (res result, keep bool, err error) {
@@ -74,10 +69,10 @@
 		// Its end would look the same as a break.
 		return res, false, errors.New("read answer: length not given")
 	}
-	if resp.ContentLength > maxBody {
+	if resp.ContentLength > message.MaxBody {
 		return result{status: balancer.Error}, false, nil
 	}
-	body, whole, err := hold(resp.Body, resp.ContentLength, a.req.lease, time.Now().Add(answerStall))
+	body, whole, err := message.ReadBuffered(resp.Body, resp.ContentLength, a.req.lease, time.Now().Add(answerStall))
 	if err != nil {
 		return res, false, fmt.Errorf("read body: %w", err)
 	}
@@ -102,12 +97,12 @@
 
 // pass has an answer passed on as it comes. Its time was that of its first bytes; from here on only a rest ends it.
 func (a *attempt) pass(c *conn, resp *http.Response, first []byte) (res result, keep bool, err error) {
-	c.stall, c.until = streamStall, time.Time{}
-	d := &download{first: first, body: resp.Body, length: resp.ContentLength, conn: c,
-		content: resp.Header.Get("Content-Type"), done: make(chan error, 1)}
-	a.begin(d)
+	c.stall, c.until = message.StreamStall, time.Time{}
+	stream := &message.ResponseStream{First: first, Body: resp.Body, Length: resp.ContentLength,
+		ContentType: resp.Header.Get("Content-Type"), Abort: c.cut, Done: make(chan error, 1)}
+	a.begin(stream)
 	select {
-	case err = <-d.done:
+	case err = <-stream.Done:
 	case <-a.ctx.Done():
 		err = a.ctx.Err()
 	}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"baylock/balancer"
+	"baylock/internal/message"
+	"baylock/internal/socket"
 )
 
 // attempt is one Send of the module on its way.
@@ -23,8 +25,8 @@
 	epoch    int
 	ctx      context.Context // its end stops the attempt
 	stop     context.CancelFunc
-	uploaded func(time.Time) time.Time // tells when the last byte of a streamed request went out; returns the new deadline
-	begin    func(*download)           // hands an answer over that is passed on as it comes
+	uploaded func(time.Time) time.Time     // tells when the last byte of a streamed request went out; returns the new deadline
+	begin    func(*message.ResponseStream) // hands an answer over that is passed on as it comes
 
 	spoken atomic.Bool // the backend has said something, while the request was passed on as it came
 
@@ -46,10 +48,10 @@
 func (a *attempt) run() result {
 	res := a.try()
 	if u := a.req.rest; u != nil {
-		res.spent = u.used.Load()
-		if err := u.failure(); res.spent && err != nil && a.ctx.Err() == nil && res.status != balancer.OK {
+		res.spent = u.Consumed()
+		if err := u.Failure(); res.spent && err != nil && a.ctx.Err() == nil && res.status != balancer.OK {
 			res.fault = http.StatusBadRequest
-			if errors.Is(err, errTooLong) {
+			if errors.Is(err, message.ErrTooLong) {
 				res.fault = http.StatusRequestEntityTooLarge
 			}
 		}
@@ -92,7 +94,7 @@
 	if res, ok := a.due(); !ok {
 		return res, false
 	}
-	if !quiet(c.Conn) {
+	if !socket.IsQuiet(c.Conn) {
 		return result{status: balancer.ConnectFailed, unused: true}, false
 	}
 	c.used = true
--- a/internal/proxy/body_test.go
+++ b/internal/proxy/body_test.go
@@ -17,6 +17,7 @@
 
 	"baylock/balancer"
 	"baylock/internal/discovery"
+	"baylock/internal/message"
 	"baylock/internal/settings"
 )
 
@@ -83,7 +84,7 @@
 	p := withBackend(t, b)
 	c := connect(t, p)
 	n := 0
-	for _, size := range []int{0, 1, 5, 4096, maxHeld - 1, maxHeld, maxHeld + 1, 300_000, 3_000_000} {
+	for _, size := range []int{0, 1, 5, 4096, message.MaxBuffered - 1, message.MaxBuffered, message.MaxBuffered + 1, 300_000, 3_000_000} {
 		for _, in := range []string{"length", "chunks"} {
 			for _, out := range []string{"", "?chunked=1"} {
 				n++
@@ -103,26 +104,20 @@
 			}
 		}
 	}
-	waitUntil(t, func() bool { return p.front.budget.inUse() == 0 })
-}
-
-func (b *budget) inUse() int64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.used
+	waitUntil(t, func() bool { return p.front.budget.InUse() == 0 })
 }
 
 // 32 MB pass, one byte more does not.
 func TestTheLongestBody(t *testing.T) {
 	b := startReader(t, func(w io.Writer, r *http.Request, body []byte) {
-		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxBody)
+		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", message.MaxBody)
 		_, _ = w.Write(body)
 	})
 	p := withBackend(t, b)
 	c := connect(t, p)
-	body := bytes.Repeat([]byte("0123456789abcdef"), maxBody/16)
+	body := bytes.Repeat([]byte("0123456789abcdef"), message.MaxBody/16)
 	go func() {
-		_, _ = io.WriteString(c, post("1", fmt.Sprint("Content-Length: ", maxBody)))
+		_, _ = io.WriteString(c, post("1", fmt.Sprint("Content-Length: ", message.MaxBody)))
 		_, _ = c.Write(body)
 	}()
 	resp, err := http.ReadResponse(c.r, nil)
@@ -130,13 +125,13 @@
 		t.Fatal(err)
 	}
 	sum := sha256.New()
-	if n, err := io.Copy(sum, resp.Body); n != maxBody || err != nil || [32]byte(sum.Sum(nil)) != sha256.Sum256(body) {
+	if n, err := io.Copy(sum, resp.Body); n != message.MaxBody || err != nil || [32]byte(sum.Sum(nil)) != sha256.Sum256(body) {
 		t.Errorf("got %d bytes, %v", n, err)
 	}
 	c = connect(t, p) // the length shows only when it has come
 	go func() {
 		_, _ = io.WriteString(c, post("2", "Transfer-Encoding: chunked"))
-		for range maxBody/len(body[:1<<20]) + 1 {
+		for range message.MaxBody/len(body[:1<<20]) + 1 {
 			if _, err := fmt.Fprintf(c, "%x\r\n%s\r\n", 1<<20, body[:1<<20]); err != nil {
 				return
 			}
@@ -272,8 +267,8 @@
 		case <-time.After(20 * time.Millisecond):
 			runtime.ReadMemStats(&now)
 			most.Store(max(most.Load(), now.HeapInuse))
-			if n := p.front.budget.inUse(); n > p.front.budget.most {
-				t.Fatalf("%d bytes are held of at most %d", n, p.front.budget.most)
+			if n := p.front.budget.InUse(); n > p.front.budget.Limit() {
+				t.Fatalf("%d bytes are held of at most %d", n, p.front.budget.Limit())
 			}
 		}
 	}
@@ -284,14 +279,14 @@
 	if grown := int64(most.Load()) - int64(before.HeapInuse); grown > (32<<20)+many*(256<<10) {
 		t.Errorf("%d MB more memory in use", grown>>20)
 	}
-	waitUntil(t, func() bool { return p.front.budget.inUse() == 0 })
+	waitUntil(t, func() bool { return p.front.budget.InUse() == 0 })
 }
 
 // Without room a body is not held but passed on, and none waits.
 func TestAFullBudgetHoldsNothing(t *testing.T) {
 	p := withBackend(t, startReader(t, echo))
-	all := &lease{of: p.front.budget}
-	if !all.take(p.front.budget.most) {
+	all := p.front.budget.Reserve()
+	if !all.Grow(p.front.budget.Limit()) {
 		t.Fatal("no budget")
 	}
 	c := connect(t, p)
@@ -299,8 +294,8 @@
 	if resp, body := c.answer(t); resp.StatusCode != 200 || body != text(30000) {
 		t.Errorf("got %s with %d bytes", resp.Status, len(body))
 	}
-	all.end()
-	if all.take(1) || p.front.budget.inUse() != 0 {
+	all.Release()
+	if all.Grow(1) || p.front.budget.InUse() != 0 {
 		t.Error("a lease goes on after its end")
 	}
 }
@@ -318,7 +313,7 @@
 		for _, b := range p.loop.pool.byName {
 			idle += len(b.idle)
 		}
-		return n == 0 && p.loop.pool.open == idle && p.front.budget.inUse() == 0
+		return n == 0 && p.loop.pool.open == idle && p.front.budget.InUse() == 0
 	})
 }
 
--- a/internal/proxy/clients.go
+++ b/internal/proxy/clients.go
@@ -3,13 +3,15 @@
 import (
 	"bytes"
 	"container/list"
-	"errors"
 	"net"
 	"net/http"
 	"sync"
 	"sync/atomic"
 	"syscall"
 	"time"
+
+	"baylock/internal/message"
+	"baylock/internal/socket"
 )
 
 const (
@@ -17,7 +19,6 @@
 	silentGrace = 250 * time.Millisecond
 	justHeard   = 100 * time.Millisecond // see clients.just
 
-	tcpEstablished = 1 // the state of a connection that neither side has closed; see tcpInfo
 )
 
 // clients accepts the connections of clients and knows which of them carry a request. It goes on accepting
@@ -137,7 +138,7 @@
 	for e := from.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*clientConn)
 		heard := time.Unix(0, c.heard.Load())
-		if !(c.head.begun() && now.Sub(heard) < l.just) && quiet(c) {
+		if !(c.head.begun() && now.Sub(heard) < l.just) && socket.IsQuiet(c) {
 			l.remove(c)
 			c.Conn.Close()
 			return true
@@ -206,7 +207,7 @@
 	for _, c := range l.conns {
 		rested := time.Since(c.since)
 		ripe := c.list == l.idle && rested >= idleFor || c.list == l.silent && rested > newFor
-		if ripe && quiet(c) && !c.head.begun() {
+		if ripe && socket.IsQuiet(c) && !c.head.begun() {
 			l.remove(c)
 			c.Conn.Close()
 			continue
@@ -221,8 +222,7 @@
 
 // queued tells whether connections wait to be accepted: to close the listener would reset them.
 func (l *clients) queued() bool {
-	_, n, err := tcpInfo(l.Listener)
-	return err == nil && n > 0
+	return socket.HasPendingConnections(l.Listener)
 }
 
 // Read notes when bytes came.
@@ -263,7 +263,7 @@
 		b = h.bytes
 	}
 	if end := bytes.Index(b, []byte("\r\n\r\n")); end >= 0 {
-		h.bytes, h.ended, h.sound = nil, true, !twoFramings(b[:end])
+		h.bytes, h.ended, h.sound = nil, true, !message.HasConflictingFraming(b[:end])
 	} else if len(b) > 2*maxHead {
 		h.bytes, h.ended = nil, true
 	} else if len(h.bytes) == 0 {
@@ -287,8 +287,7 @@
 // left tells whether the client has closed its connection or reset it. Unlike a read it sees that behind bytes that
 // nobody has read yet, and it may be asked at any time.
 func (c *clientConn) left() bool {
-	state, _, err := tcpInfo(c)
-	return state != tcpEstablished && (err == nil || errors.Is(err, net.ErrClosed))
+	return socket.PeerClosed(c)
 }
 
 // CloseWrite lets net/http end its side first, so that a client that is still sending reads its error.
--- a/internal/proxy/console_test.go
+++ b/internal/proxy/console_test.go
@@ -20,6 +20,7 @@
 	"baylock/balancer"
 	"baylock/internal/discovery"
 	"baylock/internal/settings"
+	"baylock/internal/socket"
 )
 
 // startWithConsole starts a proxy that operators can call, in a folder that it may share with others; listen is the
@@ -210,7 +211,7 @@
 		dial(t, inner.Addr().String()).send(t, "GET /_rea")
 		wait(t, "connection taken", taken)
 		c := wait(t, "connection accepted", accepted)
-		waitUntil(t, func() bool { return !quiet(c) }) // its bytes have come
+		waitUntil(t, func() bool { return !socket.IsQuiet(c) }) // its bytes have come
 		return c
 	}
 	first, _ := halfCall(), halfCall()
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"baylock/balancer"
+	"baylock/internal/message"
 )
 
 // exchange writes the request and reads the answer; keep tells whether the connection can serve again.
@@ -68,7 +69,7 @@
 // send passes a request on while its client writes it. ok tells whether an answer is to be read: all of the request
 // has gone out. Before that a backend can only turn it away.
 func (a *attempt) send(c *conn) (res result, ok bool) {
-	a.req.rest.resume()
+	a.req.rest.Resume()
 	w := &stalling{a: a, c: c, said: make(chan bool, 1), none: result{status: balancer.NotAttempted}}
 	_ = c.SetReadDeadline(time.Time{})
 	err := a.out(io.MultiReader(bytes.NewReader(a.req.body), a.req.rest)).Write(w)
@@ -93,7 +94,7 @@
 		c.cut()
 	}
 	said := <-w.said
-	if !w.short && a.req.rest.complete() { // nothing proves that the last byte has not gone out
+	if !w.short && a.req.rest.ReceivedAll() { // nothing proves that the last byte has not gone out
 		return result{status: balancer.Reset}, false
 	}
 	if !said || a.ctx.Err() != nil {
@@ -117,7 +118,7 @@
 }
 
 func (s *stalling) Write(b []byte) (n int, err error) {
-	_ = s.c.SetWriteDeadline(s.a.by(time.Now().Add(streamStall)))
+	_ = s.c.SetWriteDeadline(s.a.by(time.Now().Add(message.StreamStall)))
 	if !s.c.used { // its client may have taken its time until here
 		var ok bool
 		if s.none, ok = s.a.first(s.c); !ok {
@@ -141,10 +142,10 @@
 func (s *stalling) listen() {
 	_, err := s.c.r.Peek(1)
 	s.a.spoken.Store(err == nil)
-	if u := s.a.req.rest; !u.ended.Load() {
+	if u := s.a.req.rest; !u.Ended() {
 		s.stopped.Store(true)
 		_ = s.c.SetWriteDeadline(time.Unix(1, 0))
-		u.interrupt()
+		u.Interrupt()
 	}
 	s.said <- err == nil
 }
@@ -171,7 +172,7 @@
 	out := http.Request{Method: r.method, Host: r.host, Header: r.header, ContentLength: int64(len(r.body)),
 		URL: &url.URL{Opaque: path, RawQuery: query, ForceQuery: strings.HasSuffix(r.uri, "?")}}
 	if r.rest != nil {
-		out.ContentLength = r.rest.length
+		out.ContentLength = r.rest.Length()
 	}
 	if out.ContentLength != 0 {
 		out.Body = io.NopCloser(body)
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -16,6 +16,8 @@
 
 	"baylock/balancer"
 	"baylock/internal/discovery"
+	"baylock/internal/message"
+	"baylock/internal/socket"
 )
 
 const patience = 20 * time.Second // for what must happen
@@ -151,7 +153,7 @@
 		{"half a body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", balancer.Reset},
 		{"half a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok", balancer.Reset},
 		{"no length", "HTTP/1.1 200 OK\r\n\r\nok", balancer.Reset},
-		{"too long", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", maxBody+1), balancer.Error},
+		{"too long", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", message.MaxBody+1), balancer.Error},
 		{"no HTTP", "SSH-2.0-x\r\n\r\n", balancer.Reset},
 		{"noise", "\xfai\x19\xce\xea\r\n\r\n", balancer.Reset},
 		{"no status", "HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nok", balancer.Reset},
@@ -292,7 +294,7 @@
 		waitUntil(t, func() bool { // the news has reached this end
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			return !quiet(p.byName["a"].idle[0].Conn)
+			return !socket.IsQuiet(p.byName["a"].idle[0].Conn)
 		})
 	}
 	if b.requests.Load() != 3 || b.conns.Load() != 3 {
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"baylock/balancer"
+	"baylock/internal/message"
 )
 
 const (
@@ -27,9 +28,8 @@
 	// this long from its connecting to its first body's end. A later body has as long as a head.
 	headPatience  = 2200 * time.Millisecond
 	firstPatience = 2800 * time.Millisecond
-	idlePatience  = 10 * time.Second       // for the next request on a connection
-	faultLinger   = 500 * time.Millisecond // for what a bad client still sends, so that it can read its error
-	writeLeeway   = 5 * time.Second        // for the answer to be taken
+	idlePatience  = 10 * time.Second // for the next request on a connection
+	writeLeeway   = 5 * time.Second  // for the answer to be taken
 
 	// After the first call on lame duck health checks are asked within 0.1 s, and connections come for 0.2 s more.
 	duckAfter = 400 * time.Millisecond
@@ -51,7 +51,7 @@
 	loop     *loop
 	server   *http.Server
 	clients  *clients
-	budget   *budget
+	budget   *message.Budget
 	log      *slog.Logger
 	draining atomic.Bool // SIGTERM has come: health checks are told
 	bound    atomic.Bool // clients may get no new connections here
@@ -67,7 +67,7 @@
 }
 
 func newFrontend(l *loop, most int, log *slog.Logger) *frontend {
-	f := &frontend{loop: l, clients: newClients(nil, most), budget: &budget{}, log: log, served: make(chan struct{})}
+	f := &frontend{loop: l, clients: newClients(nil, most), budget: &message.Budget{}, log: log, served: make(chan struct{})}
 	f.server = &http.Server{
 		Handler: f, ReadHeaderTimeout: headPatience, IdleTimeout: idlePatience, MaxHeaderBytes: maxHead,
 		WriteTimeout: headPatience + writeLeeway, // each answer sets its own when it begins
@@ -110,11 +110,11 @@
 	req, fault := f.parse(w, r, came)
 	if fault.status != 0 {
 		// What is left of a body is drained on the way out; it may never come.
-		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(faultLinger))
+		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(message.DiscardPatience))
 		f.reply(w, fault)
 		return
 	}
-	defer req.lease.end()
+	defer req.lease.Release()
 	if f.bound.Load() {
 		req.ClientConnections, req.IdleConnections = f.clients.lines()
 	}
@@ -129,7 +129,7 @@
 		select {
 		case ans = <-req.answer:
 			waiting = false
-		case <-u.end():
+		case <-u.Done():
 			gone, u = r.Context().Done(), nil
 		case <-gone: // the client has gone
 			l.post(func() { l.withdraw(req, answer{}) })
@@ -141,7 +141,7 @@
 	if ans.status == 0 { // nobody is there to take it
 		panic(http.ErrAbortHandler)
 	}
-	if u != nil && !u.ended.Load() {
+	if u != nil && !u.Ended() {
 		w.Header().Set("Connection", "close")
 	}
 	if ans.stream != nil {
@@ -150,7 +150,7 @@
 		f.reply(w, ans)
 	}
 	if u != nil {
-		u.drain()
+		u.Discard()
 	}
 }
 
@@ -197,7 +197,7 @@
 // pass gives an answer on as it comes. One that breaks off ends the connection, so that the client can tell.
 func (f *frontend) pass(w http.ResponseWriter, r *http.Request, ans answer) {
 	d, err := ans.stream, http.ErrAbortHandler
-	defer func() { d.done <- err }()
+	defer func() { d.Done <- err }()
 	h := w.Header()
 	if f.closing.Load() {
 		h.Set("Connection", "close")
@@ -206,10 +206,10 @@
 	if ans.content != "" {
 		h.Set("Content-Type", ans.content)
 	}
-	if d.length >= 0 {
-		h.Set("Content-Length", strconv.FormatInt(d.length, 10))
+	if d.Length >= 0 {
+		h.Set("Content-Length", strconv.FormatInt(d.Length, 10))
 	}
-	if err = d.deliver(r.Context(), w); err != nil {
+	if err = d.Deliver(r.Context(), w); err != nil {
 		f.log.Warn("answer not finished", "id", r.Header.Get("Request-Id"), "error", err)
 		panic(http.ErrAbortHandler)
 	}
@@ -262,18 +262,18 @@
 	}
 	wait := min(k.Deadline.Duration(), time.Duration(min(ms, 1e9))*time.Millisecond)
 	switch {
-	case r.ContentLength > maxBody:
+	case r.ContentLength > message.MaxBody:
 		return bad(http.StatusRequestEntityTooLarge, "the body is too large")
 	case r.ContentLength != 0 && method == http.MethodGet:
 		return bad(http.StatusBadRequest, "a body on a GET")
 	}
-	req := &request{snapshot: now, method: method, uri: r.RequestURI, host: r.Host, lease: &lease{of: f.budget}, answer: make(chan answer, 1),
+	req := &request{snapshot: now, method: method, uri: r.RequestURI, host: r.Host, lease: f.budget.Reserve(), answer: make(chan answer, 1),
 		left: func() bool { return conn != nil && conn.left() }}
-	if err := f.body(w, r, req, conn, came); errors.Is(err, errTooLong) {
-		req.lease.end()
+	if err := f.body(w, r, req, conn, came); errors.Is(err, message.ErrTooLong) {
+		req.lease.Release()
 		return bad(http.StatusRequestEntityTooLarge, err.Error())
 	} else if err != nil {
-		req.lease.end()
+		req.lease.Release()
 		return bad(http.StatusBadRequest, "the body broke off")
 	}
 	tenant, ok := now.tenants[r.Header.Get("Tenant")]
@@ -291,14 +291,14 @@
 
 // body reads a body while it is held; what is longer is left to be passed on as it comes.
 func (f *frontend) body(w http.ResponseWriter, r *http.Request, req *request, conn *clientConn, came time.Time) error {
-	u := &upload{from: r.Body, length: r.ContentLength, control: http.NewResponseController(w),
-		start: came.Add(headPatience - bodyPatience)}
+	control, start := http.NewResponseController(w), came.Add(headPatience-message.FirstBytesPatience)
 	if conn != nil && !conn.asked.Load() {
-		u.start = later(came, conn.came.Add(firstPatience-bodyPatience))
+		start = later(came, conn.came.Add(firstPatience-message.FirstBytesPatience))
 	}
+	u := message.NewRequestStream(r.Body, r.ContentLength, control, start)
 	var whole bool
 	var err error
-	if req.body, whole, err = hold(asHeld{u}, r.ContentLength, req.lease, time.Time{}); err != nil {
+	if req.body, whole, err = u.Buffer(req.lease); err != nil {
 		return err
 	}
 	if whole {
@@ -306,14 +306,14 @@
 			conn.head.next()
 		}
 		// While the answer is awaited net/http reads on, to see a client that goes; that has no deadline.
-		_ = u.control.SetReadDeadline(time.Time{})
+		_ = control.SetReadDeadline(time.Time{})
 		return nil
 	}
-	req.rest, u.over = u, make(chan struct{})
+	req.rest = u
 	if conn != nil {
-		u.next = conn.head.next
+		u.SetEndHook(conn.head.next)
 	}
-	_ = u.control.EnableFullDuplex() // an answer may be due before the body has ended
+	_ = control.EnableFullDuplex() // an answer may be due before the body has ended
 	return nil
 }
 
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -11,6 +11,7 @@
 
 	"baylock/balancer"
 	"baylock/internal/discovery"
+	"baylock/internal/message"
 	"baylock/internal/microtime"
 	"baylock/internal/timing"
 )
@@ -29,14 +30,14 @@
 	method string
 	uri    string // path and query as they came
 	host   string
-	header http.Header           // what goes on to the backend
-	body   []byte                // what is held of the body
-	rest   *upload               // what is not; nil if all of it is held
-	came   balancer.Microseconds // when its last byte had come
+	header http.Header            // what goes on to the backend
+	body   []byte                 // what is held of the body
+	rest   *message.RequestStream // what is not; nil if all of it is held
+	came   balancer.Microseconds  // when its last byte had come
 	wait   time.Duration
-	lease  *lease      // for what is held
-	left   func() bool // whether its client has left
-	answer chan answer // takes the one final answer without a wait
+	lease  *message.Reservation // for what is held
+	left   func() bool          // whether its client has left
+	answer chan answer          // takes the one final answer without a wait
 
 	snapshot *snapshot // it was read under these settings; the loop's, once it has it
 
@@ -51,8 +52,8 @@
 	status  int
 	body    []byte
 	content string
-	after   balancer.Microseconds // of a refusal: come again after this, in microseconds; 0 for no word
-	stream  *download             // in place of a body: it is passed on as it comes
+	after   balancer.Microseconds   // of a refusal: come again after this, in microseconds; 0 for no word
+	stream  *message.ResponseStream // in place of a body: it is passed on as it comes
 }
 
 // due is what a timer of the loop is for: a token of the module's, or the end of a request's time.
@@ -268,7 +269,7 @@
 
 // begin gives a request its final answer while that still comes. Its time was that of its first bytes, and for the
 // module its attempt has ended: the server's work on it is done.
-func (l *loop) begin(a *attempt, d *download) {
+func (l *loop) begin(a *attempt, d *message.ResponseStream) {
 	r := a.req
 	if r.over {
 		a.stop()
@@ -280,7 +281,7 @@
 		return
 	}
 	a.began = true
-	l.end(r, answer{status: http.StatusOK, content: d.content, stream: d})
+	l.end(r, answer{status: http.StatusOK, content: d.ContentType, stream: d})
 	now := l.clock.Now()
 	l.bal.HandleOutcome(now, l, balancer.Outcome{ID: r.ID, Attempt: a.number, Status: balancer.OK, Latency: now - a.sent, RequestDone: true})
 }
@@ -372,7 +373,7 @@
 		l.post(func() { l.uploaded(a, at) })
 		return at.Add(wait)
 	}
-	a.begin = func(d *download) { l.post(func() { l.begin(a, d) }) }
+	a.begin = func(d *message.ResponseStream) { l.post(func() { l.begin(a, d) }) }
 	a.ctx, a.stop = context.WithCancel(l.ctx)
 	r.current = a
 	l.attempts.Add(1)
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"baylock/internal/discovery"
+	"baylock/internal/socket"
 )
 
 const (
@@ -231,7 +232,7 @@
 			continue
 		}
 		b.idle = slices.Delete(b.idle, i, i+1)
-		if idled < p.trusted && quiet(c.Conn) {
+		if idled < p.trusted && socket.IsQuiet(c.Conn) {
 			c.idled = idled
 			return c
 		}
@@ -344,7 +345,7 @@
 	for _, b := range p.byName {
 		kept := b.idle[:0]
 		for _, c := range b.idle {
-			if now.Sub(c.since) < p.trusted && quiet(c.Conn) {
+			if now.Sub(c.since) < p.trusted && socket.IsQuiet(c.Conn) {
 				kept = append(kept, c)
 			} else {
 				p.closeLocked(c)
@@ -354,24 +355,3 @@
 		b.idle = kept
 	}
 }
-
-// quiet tells whether a connection is open with nothing to read: an idle peer that has closed it, or sends
-// what nobody asked for, shows here without a wait.
-func quiet(c net.Conn) bool {
-	sc, ok := c.(syscall.Conn)
-	if !ok {
-		return false
-	}
-	raw, err := sc.SyscallConn()
-	if err != nil {
-		return false
-	}
-	open := false
-	// Control, not Read: Read waits for any other reader, and the server always has one on an idle client.
-	err = raw.Control(func(fd uintptr) {
-		var b [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		open = errors.Is(err, syscall.EAGAIN)
-	})
-	return err == nil && open
-}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -13,6 +13,7 @@
 	"baylock/balancer"
 	"baylock/internal/discovery"
 	"baylock/internal/settings"
+	"baylock/internal/socket"
 	"baylock/internal/timing"
 )
 
@@ -134,7 +135,7 @@
 // connections.
 func (p *Proxy) open() error {
 	before := p.shared.others(openByte)
-	listener, err := listenShared(p.cfg.Listen, before, p.cfg.Log)
+	listener, err := socket.ListenShared(p.cfg.Listen, before, p.cfg.Log)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -19,8 +19,10 @@
 
 	"baylock/balancer"
 	"baylock/internal/discovery"
+	"baylock/internal/message"
 	"baylock/internal/microtime"
 	"baylock/internal/settings"
+	"baylock/internal/socket"
 )
 
 const siteText = `{"contract":{"cold_us":1000000,"start_capacity":0.3},"failure_domains":["a"],"limits":{` +
@@ -31,6 +33,9 @@
 	`{"give_up_us":8000000,"name":"post","objective_us":4000000,"repeat":"at_most_once","worth":1}],` +
 	`"siblings":1,"stage":0,"tenants":[{"name":"acme","portion":1,"quota_per_s":1000}],"weights":"off"}`
 
+// discoveryConnKey is the context key of the connection that a call to fakeDiscovery arrived on.
+type discoveryConnKey struct{}
+
 // fakeDiscovery answers the calls in the order of its answers and then holds every watch.
 type fakeDiscovery struct {
 	addr  string
@@ -42,12 +47,14 @@
 func startDiscovery(t *testing.T) *fakeDiscovery {
 	t.Helper()
 	d := &fakeDiscovery{say: make(chan string, 10), calls: make(chan string, 1000), over: make(chan struct{})}
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		conn := r.Context().Value(discoveryConnKey{}).(net.Conn)
 		d.calls <- r.URL.RawQuery
 		select {
 		case text := <-d.say:
-			if r.Context().Err() != nil { // nobody waits for it here any more
+			if r.Context().Err() != nil || socket.PeerClosed(conn) { // its client has given this call up
 				d.say <- text
+				return
 			}
 			if text == "" {
 				panic(http.ErrAbortHandler)
@@ -57,6 +64,10 @@
 		case <-r.Context().Done():
 		}
 	}))
+	s.Config.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
+		return context.WithValue(ctx, discoveryConnKey{}, c)
+	}
+	s.Start()
 	d.addr = strings.TrimPrefix(s.URL, "http://")
 	t.Cleanup(func() { close(d.over); s.Close() })
 	return d
@@ -213,7 +224,7 @@
 		"empty time":         {strings.Replace(look("1", 9), "-Ms: 9", "-Ms:", 1), 400},
 		"negative time":      {look("1", -5), 400},
 		"time not told":      {strings.Replace(look("1", 9), "Request-Timeout-Ms", "Other", 1), 400},
-		"too large":          {post("3", fmt.Sprint("Content-Length: ", maxBody+1)), 413},
+		"too large":          {post("3", fmt.Sprint("Content-Length: ", message.MaxBody+1)), 413},
 		"60 MB":              {post("3", "Content-Length: 60000000") + strings.Repeat("x", 100000), 413},
 		"negative length":    {post("3", "Content-Length: -4"), 400},
 		"length is no word":  {post("3", "Content-Length: ten"), 400},
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -175,7 +175,7 @@
 	forClients, forBackends := divide(sockets)
 	p.front.clients.limit(max(forClients, leastEach))
 	p.loop.pool.limit(forBackends)
-	p.front.budget.limit(memory)
+	p.front.budget.SetLimit(memory)
 	if memory > 0 {
 		debug.SetMemoryLimit(int64(memory * memoryPart * (1 << 20)))
 	} else if p.memoryLimited {
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -348,8 +348,8 @@
 	pool := p.loop.pool
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	if p.most() != forClients || pool.most != forBackends || p.front.budget.most != 100<<20/heldPart {
-		t.Errorf("%d for clients, %d for backends, %d bytes for bodies", p.most(), pool.most, p.front.budget.most)
+	if p.most() != forClients || pool.most != forBackends || p.front.budget.Limit() != 100<<20/8 {
+		t.Errorf("%d for clients, %d for backends, %d bytes for bodies", p.most(), pool.most, p.front.budget.Limit())
 	}
 	t.Cleanup(func() { // the runtime's limit holds for all tests
 		cfg.MemoryMB = 0
--- a/internal/proxy/repeat_test.go
+++ b/internal/proxy/repeat_test.go
@@ -8,11 +8,14 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
+	"strings"
 	"testing"
 	"time"
 
 	"baylock/balancer"
 	"baylock/internal/discovery"
+	"baylock/internal/message"
+	"baylock/internal/socket"
 )
 
 const failed = "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
@@ -89,7 +92,7 @@
 			a.req.method = http.MethodPost
 			a.uploaded = func(time.Time) time.Time { return time.Now().Add(patience) }
 			if body := bytes.Repeat([]byte("0123456789abcde\n"), 1<<19); streamed {
-				a.req.rest = newUpload(t, body)
+				a.req.rest = newRequestStream(t, bytes.NewReader(body), int64(len(body)))
 			} else {
 				a.req.body = body
 			}
@@ -123,11 +126,11 @@
 	}
 }
 
-// newUpload is a body that its client writes at once.
-func newUpload(t *testing.T, body []byte) *upload {
+// newRequestStream is a body whose client writes it at once.
+func newRequestStream(t *testing.T, body io.Reader, length int64) *message.RequestStream {
 	t.Helper()
-	return &upload{from: bytes.NewReader(body), length: int64(len(body)), over: make(chan struct{}),
-		control: http.NewResponseController(httptest.NewRecorder()), start: time.Now().Add(patience)}
+	return message.NewRequestStream(body, length, http.NewResponseController(httptest.NewRecorder()),
+		time.Now().Add(patience))
 }
 
 // strays are words of a backend that answer nothing that it was asked, but say that something never ran.
@@ -162,14 +165,14 @@
 				rested(p)
 				a, looks := newAttempt(p, "a", patience), 0
 				if streamed {
-					a.req.method, a.req.rest = http.MethodPost, newUpload(t, []byte(text(100_000)))
+					a.req.method, a.req.rest = http.MethodPost, newRequestStream(t, strings.NewReader(text(100_000)), 100_000)
 					a.uploaded = func(time.Time) time.Time { return a.deadline }
 				}
 				a.req.left = func() bool { // asked before a connection is taken, and again right before the first byte
 					if looks++; looks == 2 {
 						_, _ = io.WriteString(<-theirs, stray)
 						c := <-ours
-						waitUntil(t, func() bool { return !quiet(c) })
+						waitUntil(t, func() bool { return !socket.IsQuiet(c) })
 					}
 					return false
 				}
@@ -196,12 +199,12 @@
 			})
 			p := poolWith(4, b.addr)
 			a := newAttempt(p, "a", patience)
-			a.req.method, a.req.rest = http.MethodPost, newUpload(t, []byte(text(20_000)))
+			a.req.method, a.req.rest = http.MethodPost, newRequestStream(t, strings.NewReader(text(20_000)), 20_000)
 			a.uploaded = func(time.Time) time.Time { return time.Now().Add(patience) }
-			a.req.rest.next = func() { // the client's part has ended, the last piece has not gone out
+			a.req.rest.SetEndHook(func() { // the client's part has ended, the last piece has not gone out
 				close(speak)
 				waitUntil(t, a.spoken.Load)
-			}
+			})
 			res := a.run()
 			if res.status != balancer.Rejected && res.status != balancer.ConnectFailed {
 				t.Errorf("got %v", res.status)
@@ -235,9 +238,8 @@
 	})
 	p := poolWith(4, b.addr)
 	a := newAttempt(p, "a", patience)
-	a.req.method, a.req.rest = http.MethodPost, newUpload(t, nil)
-	a.req.rest.length = 25 * 4096 // net/http's buffer is full then, and its last byte goes out before the error
-	a.req.rest.from = &overlong{int(a.req.rest.length)}
+	const length = 25 * 4096 // net/http's buffer is full then, and its last byte goes out before the error
+	a.req.method, a.req.rest = http.MethodPost, newRequestStream(t, &overlong{length}, length)
 	if res := a.run(); res.status != balancer.Reset {
 		t.Errorf("got %v", res.status)
 	}
--- /dev/null
+++ b/internal/socket/socket.go
@@ -0,0 +1,86 @@
+// Package socket does with TCP sockets what package net does not offer: it looks at a connection without reading from
+// it, and shares a listening address between processes.
+package socket
+
+import (
+	"errors"
+	"net"
+	"syscall"
+	"unsafe"
+)
+
+// stateEstablished is the kernel's TCP_ESTABLISHED: neither side has closed the connection.
+const stateEstablished = 1
+
+// IsQuiet reports whether a connection is open and has nothing to read. An idle peer that has closed it, or that has
+// sent something unexpected, shows here without blocking. It may be called beside a pending Read.
+func IsQuiet(c net.Conn) bool {
+	sc, ok := c.(syscall.Conn)
+	if !ok {
+		return false
+	}
+	raw, err := sc.SyscallConn()
+	if err != nil {
+		return false
+	}
+	quiet := false
+	// Control, not Read: Read would wait for a pending Read of another goroutine.
+	err = raw.Control(func(fd uintptr) {
+		var b [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		quiet = errors.Is(err, syscall.EAGAIN)
+	})
+	return err == nil && quiet
+}
+
+// PeerClosed reports whether the peer has closed or reset a connection. Unlike a Read it sees that also behind bytes
+// that nobody has read yet. It may be called at any time; a connection closed by this side counts as closed.
+func PeerClosed(c net.Conn) bool {
+	info, err := readInfo(c)
+	return info.state != stateEstablished && (err == nil || errors.Is(err, net.ErrClosed))
+}
+
+// HasPendingConnections reports whether connections wait to be accepted on a TCP listener. Closing it would reset them.
+func HasPendingConnections(l net.Listener) bool {
+	info, err := readInfo(l)
+	return err == nil && info.unacked > 0
+}
+
+// tcpInfo is the beginning of the kernel's struct tcp_info.
+type tcpInfo struct {
+	state   byte
+	_       [7]byte
+	_       [4]uint32
+	unacked uint32 // on a listening socket: connections that wait to be accepted
+}
+
+// readInfo asks the kernel for the state of a TCP socket. It fails with errors.ErrUnsupported for anything else.
+func readInfo(socket any) (info tcpInfo, err error) {
+	sc, ok := socket.(syscall.Conn)
+	if !ok {
+		return info, errors.ErrUnsupported
+	}
+	raw, err := sc.SyscallConn()
+	if err != nil {
+		return info, err
+	}
+	err = control(raw, func(fd uintptr) error {
+		size := uint32(unsafe.Sizeof(info))
+		_, _, errno := syscall.Syscall6(syscall.SYS_GETSOCKOPT, fd, syscall.IPPROTO_TCP, syscall.TCP_INFO,
+			uintptr(unsafe.Pointer(&info)), uintptr(unsafe.Pointer(&size)), 0)
+		if errno != 0 {
+			return errno
+		}
+		return nil
+	})
+	return info, err
+}
+
+// control calls f with a socket's descriptor and returns the error of either.
+func control(c syscall.RawConn, f func(fd uintptr) error) error {
+	var inner error
+	if err := c.Control(func(fd uintptr) { inner = f(fd) }); err != nil {
+		return err
+	}
+	return inner
+}
