--- /dev/null
+++ b/internal/clientconn/listener_test.go
@@ -0,0 +1,100 @@
+package clientconn
+
+import (
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"baylock/internal/socket"
+)
+
+const patience = 20 * time.Second // for what must happen
+
+// receive returns the next value of a channel.
+func receive[T any](t *testing.T, what string, c <-chan T) T {
+	t.Helper()
+	select {
+	case v := <-c:
+		return v
+	case <-time.After(patience):
+		t.Fatalf("no %s", what)
+		panic("unreachable")
+	}
+}
+
+func waitUntil(t *testing.T, condition func() bool) {
+	t.Helper()
+	for end := time.Now().Add(patience); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("not in time")
+		}
+	}
+}
+
+// dialAndSend opens a connection, which ends with the test, and writes to it.
+func dialAndSend(t *testing.T, address, text string) net.Conn {
+	t.Helper()
+	c, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	_ = c.SetDeadline(time.Now().Add(patience))
+	if _, err := io.WriteString(c, text); err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
+
+// signalListener signals each connection that it accepts.
+type signalListener struct {
+	net.Listener
+	accepted chan<- struct{}
+}
+
+func (l *signalListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
+	if err == nil {
+		l.accepted <- struct{}{}
+	}
+	return c, err
+}
+
+// Bytes that nobody has read yet protect a connection from eviction, so that there may be no capacity for a moment.
+func TestListenerWithWaitForCapacityAdmitsConnectionAfterPeersAreRead(t *testing.T) {
+	const partialRequest = "GET /_rea"
+	inner, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	acceptedInner := make(chan struct{}, 3)
+	l := NewListener(&signalListener{inner, acceptedInner}, Options{MaxConnections: 2, WaitForCapacity: true})
+	t.Cleanup(func() { l.Close() })
+	accepted := make(chan net.Conn, 3)
+	go func() {
+		for c, err := l.Accept(); err == nil; c, err = l.Accept() {
+			accepted <- c
+		}
+	}()
+	acceptPartialRequest := func() net.Conn {
+		dialAndSend(t, inner.Addr().String(), partialRequest)
+		receive(t, "connection at the inner listener", acceptedInner)
+		c := receive(t, "accepted connection", accepted)
+		waitUntil(t, func() bool { return !socket.IsQuiet(c) }) // its bytes have arrived
+		return c
+	}
+	first, _ := acceptPartialRequest(), acceptPartialRequest()
+	third := dialAndSend(t, inner.Addr().String(), "GET /_ready")
+	receive(t, "third connection at the inner listener", acceptedInner)
+	if _, err := io.ReadFull(first, make([]byte, len(partialRequest))); err != nil { // now it can be evicted
+		t.Fatal(err)
+	}
+	got := receive(t, "third accepted connection", accepted)
+	if got.RemoteAddr().String() != third.LocalAddr().String() {
+		t.Errorf("got %v, want %v", got.RemoteAddr(), third.LocalAddr())
+	}
+	if n := l.Stats().Open; n != 2 {
+		t.Errorf("%d open connections, want 2", n)
+	}
+}
--- a/internal/proxy/console.go
+++ b/internal/proxy/console.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"baylock/balancer"
+	"baylock/internal/clientconn"
 )
 
 const (
@@ -26,7 +27,7 @@
 
 // console takes the calls of operators, one to a connection. A yes is given once the loop has done what was asked.
 type console struct {
-	conns  *clients
+	conns  *clientconn.Listener
 	server *http.Server
 	calls  map[string]call
 	log    *slog.Logger
@@ -51,24 +52,20 @@
 func (n no) Error() string { return n.why }
 
 func newConsole(p *Proxy, log *slog.Logger) *console {
-	c := &console{conns: newClients(nil, consoleConns), log: log, calls: map[string]call{
+	c := &console{conns: clientconn.NewListener(nil, clientconn.Options{MaxConnections: consoleConns, WaitForCapacity: true}), log: log, calls: map[string]call{
 		"/_ready":           {http.MethodGet, false, p.ready},
 		"/_backends/detach": {http.MethodPost, true, p.detach},
 		"/_backends/attach": {http.MethodPost, true, p.attach},
 		"/_lameduck/on":     {http.MethodPost, false, p.lameDuck(true)},
 		"/_lameduck/off":    {http.MethodPost, false, p.lameDuck(false)},
 	}}
-	c.conns.just = 0 // half calls would spare each other
-	c.conns.mayWait = true
 	c.server = &http.Server{Handler: c, ReadHeaderTimeout: consoleHead, IdleTimeout: consoleHead, MaxHeaderBytes: maxCallHead,
 		WriteTimeout: 2 * consoleHead, ErrorLog: quietLog(log),
-		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
-			return context.WithValue(ctx, clientKey{}, conn)
-		},
+		ConnContext: clientconn.ConnContext,
 		// A call is open once all of it has come: one that waits for its body makes room like one that says nothing.
 		ConnState: func(conn net.Conn, s http.ConnState) {
 			if s != http.StateActive {
-				c.conns.state(conn, s)
+				c.conns.TrackState(conn, s)
 			}
 		}}
 	c.server.SetKeepAlivesEnabled(false)
@@ -123,8 +120,8 @@
 	if known.named == (id == "") {
 		return "", "", no{http.StatusBadRequest, "the body has to hold the id of a backend, or nothing where none is named"}
 	}
-	if conn, ok := r.Context().Value(clientKey{}).(*clientConn); ok {
-		c.conns.state(conn, http.StateActive)
+	if conn := clientconn.FromContext(r.Context()); conn != nil {
+		c.conns.TrackState(conn, http.StateActive)
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), consoleWait)
 	defer cancel()
--- a/internal/proxy/console_test.go
+++ b/internal/proxy/console_test.go
@@ -20,7 +20,6 @@
 	"baylock/balancer"
 	"baylock/internal/discovery"
 	"baylock/internal/settings"
-	"baylock/internal/socket"
 )
 
 // startWithConsole starts a proxy that operators can call, in a folder that it may share with others; listen is the
@@ -184,66 +183,12 @@
 		if took := time.Since(start); took > time.Second {
 			t.Errorf("answered after %v", took)
 		}
-		if n := p.console.conns.count(); n > consoleConns {
+		if n := p.console.conns.Stats().Open; n > consoleConns {
 			t.Errorf("%d connections", n)
 		}
 	}
 }
 
-// Bytes that nobody has read yet keep a connection from making room for a moment: a caller that comes just then waits. It
-// was reset before, seen once in a run of all tests on a busy machine.
-func TestACallerWaitsForRoom(t *testing.T) {
-	inner, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	taken := make(chan struct{}, 3)
-	l := newClients(&countingListener{inner, taken}, 2)
-	l.just, l.mayWait = 0, true
-	t.Cleanup(func() { l.Close() })
-	accepted := make(chan net.Conn, 3)
-	go func() {
-		for c, err := l.Accept(); err == nil; c, err = l.Accept() {
-			accepted <- c
-		}
-	}()
-	halfCall := func() net.Conn {
-		dial(t, inner.Addr().String()).send(t, "GET /_rea")
-		wait(t, "connection taken", taken)
-		c := wait(t, "connection accepted", accepted)
-		waitUntil(t, func() bool { return !socket.IsQuiet(c) }) // its bytes have come
-		return c
-	}
-	first, _ := halfCall(), halfCall()
-	last := dial(t, inner.Addr().String())
-	last.send(t, "GET /_ready")
-	wait(t, "third connection taken", taken)
-	if _, err := io.ReadFull(first, make([]byte, len("GET /_rea"))); err != nil { // now it can make room
-		t.Fatal(err)
-	}
-	got := wait(t, "third connection accepted", accepted)
-	if got.RemoteAddr().String() != last.LocalAddr().String() {
-		t.Errorf("got %v", got.RemoteAddr())
-	}
-	if n := l.count(); n != 2 {
-		t.Errorf("%d connections", n)
-	}
-}
-
-// countingListener tells of each connection that it gives.
-type countingListener struct {
-	net.Listener
-	taken chan<- struct{}
-}
-
-func (l *countingListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
-	if err == nil {
-		l.taken <- struct{}{}
-	}
-	return c, err
-}
-
 // A yes comes only when the loop has done it, and a no when it can't in time.
 func TestAYesMeansDone(t *testing.T) {
 	p, _, _ := operated(t)
@@ -335,7 +280,7 @@
 	if resp, _ := held.answer(t); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("what was open: got %s, close %v", resp.Status, resp.Close)
 	}
-	waitUntil(t, func() bool { return p.front.clients.count() == 0 })
+	waitUntil(t, func() bool { return p.front.clients.Stats().Open == 0 })
 	operate(t, p, "POST /_lameduck/off", "")
 	if ok := p.asks(t, 3); ok != 3 || p.health(t) != 200 {
 		t.Errorf("back at work: %d of 3 served", ok)
@@ -406,7 +351,7 @@
 	fresh := connect(t, next)
 	fresh.send(t, look("new", 4000))
 	fresh.answer(t)
-	if n := next.front.clients.count(); n == 0 {
+	if n := next.front.clients.Stats().Open; n == 0 {
 		t.Error("a new connection went to the old process")
 	}
 	// Either process may be called.
@@ -445,9 +390,7 @@
 }
 
 func (p *running) most() int {
-	p.front.clients.mu.Lock()
-	defer p.front.clients.mu.Unlock()
-	return p.front.clients.most
+	return p.front.clients.Stats().Max
 }
 
 // TestMain is a whole proxy of its own where TestAKillInMidUpgradeLeavesOneWhole starts it so.
@@ -516,8 +459,8 @@
 		t.Fatalf("the new process says %v, %v", resp, err)
 	}
 	resp.Body.Close()
-	if ok := both.asks(t, 5); ok != 5 || old.front.clients.count() != 0 {
-		t.Errorf("%d of 5 served, %d connections at the old process", ok, old.front.clients.count())
+	if ok := both.asks(t, 5); ok != 5 || old.front.clients.Stats().Open != 0 {
+		t.Errorf("%d of 5 served, %d connections at the old process", ok, old.front.clients.Stats().Open)
 	}
 	waitUntil(t, func() bool { return old.front.succeeded.Load() && old.most() < before })
 	_ = next.Process.Kill()
--- a/internal/proxy/ending_test.go
+++ b/internal/proxy/ending_test.go
@@ -7,19 +7,18 @@
 	"testing"
 	"time"
 
+	"baylock/internal/clientconn"
 	"baylock/internal/discovery"
 )
 
 // one is the one connection of a client that the proxy has.
-func (p *running) one(t *testing.T) *clientConn {
+func (p *running) one(t *testing.T) *clientconn.Conn {
 	t.Helper()
-	p.front.clients.mu.Lock()
-	defer p.front.clients.mu.Unlock()
-	for _, c := range p.front.clients.conns {
-		return c
+	connections := p.front.clients.Connections()
+	if len(connections) != 1 {
+		t.Fatalf("%d connections of clients", len(connections))
 	}
-	t.Fatal("no connection of a client")
-	return nil
+	return connections[0]
 }
 
 // At the cutoff the loop fails what is still open, and 20 ms later the connections were closed, on a busy core ahead of
@@ -30,7 +29,7 @@
 	c, half := connect(t, p), connect(t, p)
 	half.send(t, look("1", 8000)[:30])
 	c.send(t, look("h", 8000))
-	waitUntil(t, func() bool { return b.requests.Load() == 1 && p.front.clients.count() == 2 })
+	waitUntil(t, func() bool { return b.requests.Load() == 1 && p.front.clients.Stats().Open == 2 })
 	p.front.closing.Store(true)
 	ended := make(chan struct{})
 	go func() { defer close(ended); p.front.shutdown(time.Now()) }()
@@ -53,15 +52,11 @@
 	waitUntil(t, func() bool { return b.requests.Load() == 1 })
 	c.send(t, look("2", 8000)[:1])
 	conn := p.one(t)
-	waitUntil(t, func() bool {
-		conn.head.mu.Lock()
-		defer conn.head.mu.Unlock()
-		return len(conn.head.bytes) == 1
-	})
+	waitUntil(t, conn.RequestStarted)
 	close(release)
 	c.answer(t)
-	waitUntil(t, func() bool { _, free := p.front.clients.lines(); return free == 1 })
-	if others, taken := p.front.clients.closeIdle(0, 0); others != 1 || taken != 0 {
+	waitUntil(t, func() bool { return p.front.clients.Stats().Idle == 1 })
+	if others, taken := p.front.clients.CloseIdle(0, 0); others != 1 || taken != 0 {
 		t.Errorf("%d others, %d taken", others, taken)
 	}
 	c.send(t, look("2", 8000)[1:])
@@ -128,7 +123,7 @@
 	c := connect(t, p)
 	c.send(t, shortPost("1"))
 	wait(t, "read", read)
-	if others, _ := p.front.clients.closeIdle(0, 0); others != 0 {
+	if others, _ := p.front.clients.CloseIdle(0, 0); others != 0 {
 		t.Errorf("%d connections were left open", others)
 	}
 	close(proceed)
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -15,12 +15,12 @@
 	"time"
 
 	"baylock/balancer"
+	"baylock/internal/clientconn"
 	"baylock/internal/message"
 )
 
 const (
-	maxHead = 16 << 10 // of a request, before its body
-	maxID   = 128      // bytes of a Request-Id
+	maxID = 128 // bytes of a Request-Id
 
 	noTenant = -1 // the number of one that the settings do not name
 
@@ -50,7 +50,7 @@
 type frontend struct {
 	loop     *loop
 	server   *http.Server
-	clients  *clients
+	clients  *clientconn.Listener
 	budget   *message.Budget
 	log      *slog.Logger
 	draining atomic.Bool // SIGTERM has come: health checks are told
@@ -67,21 +67,16 @@
 }
 
 func newFrontend(l *loop, most int, log *slog.Logger) *frontend {
-	f := &frontend{loop: l, clients: newClients(nil, most), budget: &message.Budget{}, log: log, served: make(chan struct{})}
+	f := &frontend{loop: l, clients: clientconn.NewListener(nil, clientconn.Options{MaxConnections: most, RequestGrace: clientconn.RequestGrace}), budget: &message.Budget{}, log: log, served: make(chan struct{})}
 	f.server = &http.Server{
-		Handler: f, ReadHeaderTimeout: headPatience, IdleTimeout: idlePatience, MaxHeaderBytes: maxHead,
+		Handler: f, ReadHeaderTimeout: headPatience, IdleTimeout: idlePatience, MaxHeaderBytes: clientconn.MaxHead,
 		WriteTimeout: headPatience + writeLeeway, // each answer sets its own when it begins
-		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, clientKey{}, c)
-		},
-		ConnState: f.clients.state, ErrorLog: quietLog(log),
+		ConnContext:  clientconn.ConnContext,
+		ConnState:    f.clients.TrackState, ErrorLog: quietLog(log),
 	}
 	return f
 }
 
-// clientKey is the context's key for the clientConn that a request came on.
-type clientKey struct{}
-
 // quietLog sends net/http's remarks on broken clients to the debug level.
 func quietLog(l *slog.Logger) *log.Logger { return slog.NewLogLogger(l.Handler(), slog.LevelDebug) }
 
@@ -98,8 +93,8 @@
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	came := time.Now()
 	if r.URL.Path == "/_health" {
-		if c, ok := r.Context().Value(clientKey{}).(*clientConn); ok && r.ContentLength == 0 {
-			c.head.next()
+		if c := clientconn.FromContext(r.Context()); c != nil && r.ContentLength == 0 {
+			c.RequestRead()
 		}
 		if r.ContentLength != 0 { // what follows a body that nobody reads is no request
 			w.Header().Set("Connection", "close")
@@ -116,7 +111,8 @@
 	}
 	defer req.lease.Release()
 	if f.bound.Load() {
-		req.ClientConnections, req.IdleConnections = f.clients.lines()
+		stats := f.clients.Stats()
+		req.ClientConnections, req.IdleConnections = stats.Open-stats.Unused, stats.Idle
 	}
 	l := f.loop
 	l.post(func() { l.take(req) })
@@ -223,8 +219,8 @@
 	if !r.ProtoAtLeast(1, 1) { // in these net/http drops a Transfer-Encoding unseen
 		return bad(http.StatusHTTPVersionNotSupported, "HTTP/1.1 is spoken here")
 	}
-	conn, _ := r.Context().Value(clientKey{}).(*clientConn)
-	if len(r.TransferEncoding) > 0 && (conn == nil || !conn.head.isSound()) {
+	conn := clientconn.FromContext(r.Context())
+	if len(r.TransferEncoding) > 0 && (conn == nil || !conn.HasValidFraming()) {
 		return bad(http.StatusBadRequest, "the length is given in two ways")
 	}
 	for _, name := range []string{"Request-Id", "Request-Class", "Request-Timeout-Ms", "Tenant", "Idempotency-Key"} {
@@ -268,7 +264,7 @@
 		return bad(http.StatusBadRequest, "a body on a GET")
 	}
 	req := &request{snapshot: now, method: method, uri: r.RequestURI, host: r.Host, lease: f.budget.Reserve(), answer: make(chan answer, 1),
-		left: func() bool { return conn != nil && conn.left() }}
+		left: func() bool { return conn != nil && conn.ClientGone() }}
 	if err := f.body(w, r, req, conn, came); errors.Is(err, message.ErrTooLong) {
 		req.lease.Release()
 		return bad(http.StatusRequestEntityTooLarge, err.Error())
@@ -290,10 +286,10 @@
 }
 
 // body reads a body while it is held; what is longer is left to be passed on as it comes.
-func (f *frontend) body(w http.ResponseWriter, r *http.Request, req *request, conn *clientConn, came time.Time) error {
+func (f *frontend) body(w http.ResponseWriter, r *http.Request, req *request, conn *clientconn.Conn, came time.Time) error {
 	control, start := http.NewResponseController(w), came.Add(headPatience-message.FirstBytesPatience)
-	if conn != nil && !conn.asked.Load() {
-		start = later(came, conn.came.Add(firstPatience-message.FirstBytesPatience))
+	if conn != nil && !conn.ServedRequest() {
+		start = later(came, conn.AcceptedAt().Add(firstPatience-message.FirstBytesPatience))
 	}
 	u := message.NewRequestStream(r.Body, r.ContentLength, control, start)
 	var whole bool
@@ -303,7 +299,7 @@
 	}
 	if whole {
 		if conn != nil {
-			conn.head.next()
+			conn.RequestRead()
 		}
 		// While the answer is awaited net/http reads on, to see a client that goes; that has no deadline.
 		_ = control.SetReadDeadline(time.Time{})
@@ -311,7 +307,7 @@
 	}
 	req.rest = u
 	if conn != nil {
-		u.SetEndHook(conn.head.next)
+		u.SetEndHook(conn.RequestRead)
 	}
 	_ = control.EnableFullDuplex() // an answer may be due before the body has ended
 	return nil
@@ -352,7 +348,7 @@
 func (f *frontend) drain(lastCall, cutoff time.Time) {
 	told := time.Now()
 	for since := time.Duration(0); since < acceptAfter ||
-		time.Now().Before(lastCall) && f.clients.count() > 0; since = time.Since(told) {
+		time.Now().Before(lastCall) && f.clients.Stats().Open > 0; since = time.Since(told) {
 		f.bound.Store(since >= boundAfter)
 		time.Sleep(drainStep)
 	}
@@ -371,7 +367,7 @@
 		if since >= handOverLast {
 			idleFor = 0
 		}
-		f.clients.closeIdle(idleFor, acceptAfter)
+		f.clients.CloseIdle(idleFor, acceptAfter)
 		time.Sleep(drainStep)
 	}
 	f.shutdown(cutoff)
@@ -408,7 +404,7 @@
 			return
 		}
 		f.closing.Store(true)
-		f.clients.closeIdle(0, acceptAfter)
+		f.clients.CloseIdle(0, acceptAfter)
 	}
 }
 
@@ -430,12 +426,12 @@
 func (f *frontend) shutdown(cutoff time.Time) {
 	for listening := true; ; time.Sleep(drainStep) {
 		late := !time.Now().Before(cutoff)
-		if listening && (late || !f.clients.queued()) {
+		if listening && (late || !f.clients.HasPending()) {
 			f.clients.Close()
 			<-f.served
 			listening = false
 		}
-		if others, taken := f.clients.closeIdle(0, acceptAfter); !listening && (others == 0 || late && taken == 0) {
+		if others, taken := f.clients.CloseIdle(0, acceptAfter); !listening && (others == 0 || late && taken == 0) {
 			break
 		}
 	}
--- a/internal/proxy/leaving_test.go
+++ b/internal/proxy/leaving_test.go
@@ -10,6 +10,7 @@
 
 	"baylock/internal/discovery"
 	"baylock/internal/settings"
+	"baylock/internal/socket"
 )
 
 // startSite starts a proxy with the test settings, of which pairs of texts are replaced; adjust may change it before it
@@ -73,11 +74,9 @@
 func stay(t *testing.T, p *Proxy, n int) {
 	t.Helper()
 	waitUntil(t, func() bool {
-		p.front.clients.mu.Lock()
-		defer p.front.clients.mu.Unlock()
 		here := 0
-		for _, c := range p.front.clients.conns {
-			if !c.left() {
+		for _, c := range p.front.clients.Connections() {
+			if !c.ClientGone() {
 				here++
 			}
 		}
@@ -96,7 +95,7 @@
 			p := startSite(t, func(p *Proxy) {
 				p.front.clients.Listener = gatedListener{Listener: p.front.clients.Listener, gate: func(c net.Conn) net.Conn {
 					<-left
-					for !(&clientConn{Conn: c}).left() {
+					for !socket.PeerClosed(c) {
 						time.Sleep(time.Millisecond)
 					}
 					close(accepted)
@@ -190,7 +189,7 @@
 // onlySent waits until nothing is left of any request, and tells whether bytes of others than n have reached the backend.
 func onlySent(t *testing.T, p *running, b *fakeBackend, n int32) {
 	t.Helper()
-	waitUntil(t, func() bool { return p.front.clients.count() == 0 })
+	waitUntil(t, func() bool { return p.front.clients.Stats().Open == 0 })
 	nothingLeft(t, p)
 	p.loop.pool.apply(true, nil) // closes what is idle, so that the backend has read all that was sent
 	waitUntil(t, func() bool { return len(b.closed) == int(b.conns.Load()) })
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -18,6 +18,7 @@
 	"time"
 
 	"baylock/balancer"
+	"baylock/internal/clientconn"
 	"baylock/internal/discovery"
 	"baylock/internal/message"
 	"baylock/internal/microtime"
@@ -238,7 +239,7 @@
 		"odd coding":         {post("3", "Content-Length: 4\r\nTransfer-Encoding: xchunked") + "abcd", 501},
 		"hidden in HTTP/1.0": {strings.Replace(post("3", "Content-Length: 4\r\nTransfer-Encoding: chunked"), "1.1", "1.0", 1), 505},
 		"no HTTP":            {"what is this\r\n\r\n", 400},
-		"huge head":          {"GET /look/k HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 4*maxHead) + "\r\n\r\n", 431},
+		"huge head":          {"GET /look/k HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 4*clientconn.MaxHead) + "\r\n\r\n", 431},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cl := connect(t, p)
@@ -272,7 +273,7 @@
 		})
 	}
 	all.Wait()
-	waitUntil(t, func() bool { return p.front.clients.count() == 0 })
+	waitUntil(t, func() bool { return p.front.clients.Stats().Open == 0 })
 	if n := b.requests.Load(); n != 0 {
 		t.Errorf("%d requests went on", n)
 	}
@@ -372,9 +373,9 @@
 	p, b := serving(t, says(served, true))
 	c := connect(t, p)
 	c.send(t, post("3", "Content-Length: 9")+"abc")
-	waitUntil(t, func() bool { return p.front.clients.count() == 1 })
+	waitUntil(t, func() bool { return p.front.clients.Stats().Open == 1 })
 	c.Close()
-	waitUntil(t, func() bool { return p.front.clients.count() == 0 })
+	waitUntil(t, func() bool { return p.front.clients.Stats().Open == 0 })
 	if n := b.requests.Load(); n != 0 {
 		t.Errorf("%d requests went on", n)
 	}
@@ -397,7 +398,7 @@
 	t.Helper()
 	b := startBackend(t, reply)
 	p = startProxy(t, startDiscovery(t).addr, 80, listText(1, true, listed("a", b.addr, discovery.Serving)))
-	return p, p.front.clients.most
+	return p, p.front.clients.Stats().Max
 }
 
 // Clients that ask once and keep their connection, and such that never ask, filled the proxy for good; the
@@ -417,7 +418,7 @@
 		if resp, body := c.answer(t); resp.StatusCode != 200 || body != "ok" {
 			t.Fatalf("newcomer %d: got %s", i, resp.Status)
 		}
-		if n := p.front.clients.count(); n > most {
+		if n := p.front.clients.Stats().Open; n > most {
 			t.Fatalf("%d connections of at most %d", n, most)
 		}
 	}
@@ -438,9 +439,8 @@
 		asking = append(asking, c)
 	}
 	waitUntil(t, func() bool {
-		p.front.clients.mu.Lock()
-		defer p.front.clients.mu.Unlock()
-		return len(p.front.clients.conns) == most && p.front.clients.silent.Len() == 0
+		stats := p.front.clients.Stats()
+		return stats.Open == most && stats.Unused == 0
 	})
 	over := connect(t, p)
 	if _, err := over.r.ReadByte(); err == nil {
@@ -848,7 +848,7 @@
 		all[i].send(t, look(fmt.Sprint(i), 8000))
 		all[i].answer(t)
 	}
-	waitUntil(t, func() bool { _, free := p.front.clients.lines(); return free == len(all) })
+	waitUntil(t, func() bool { return p.front.clients.Stats().Idle == len(all) })
 	p.stop()
 	waitUntil(t, func() bool { return p.front.bound.Load() })
 	for i, c := range all[:5] {
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -173,7 +173,7 @@
 		sockets, memory = sockets/2, memory/2
 	}
 	forClients, forBackends := divide(sockets)
-	p.front.clients.limit(max(forClients, leastEach))
+	p.front.clients.SetMaxConnections(max(forClients, leastEach))
 	p.loop.pool.limit(forBackends)
 	p.front.budget.SetLimit(memory)
 	if memory > 0 {
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -146,7 +146,7 @@
 	}
 	close(over)
 	all.Wait()
-	if n := p.front.clients.count(); n != clients {
+	if n := p.front.clients.Stats().Open; n != clients {
 		t.Errorf("%d connections of %d clients", n, clients)
 	}
 	if n := len(b.closed); n > 0 {
