--- /dev/null
+++ b/internal/settings/wire.go
@@ -0,0 +1,205 @@
+package settings
+
+import (
+	"fmt"
+
+	"baylock/balancer"
+)
+
+// The words of membership_mode: how updates of the endpoint list reach a proxy.
+const (
+	membershipPushed     = "automatic"
+	membershipSubscribed = "subscribe"
+)
+
+// The words of profiles[].repeat: whether requests of a class may run more than once.
+const (
+	repeatIdempotent        = "idempotent"
+	repeatIdempotentWithKey = "deduplicated"
+	repeatNotIdempotent     = "at_most_once"
+)
+
+// The words of profiles[].dedup_scope: which endpoints discard duplicates of a request between them.
+const (
+	dedupScopeUnset = ""
+	dedupScopeTier  = "all"
+	dedupScopeZone  = "zone"
+	dedupScopeCell  = "cell"
+)
+
+// The words of weights that say that the endpoint list carries no capacity hints.
+const (
+	weightsUnset = ""
+	weightsOff   = "off"
+)
+
+// unitWork is the word of counted_by for a priority weight that applies to each unit of work, not to each
+// request.
+const unitWork = "work"
+
+// wireSettings is the settings object. The tags hold its names; the fields have those of balancer.Settings.
+// Durations are in microseconds.
+type wireSettings struct {
+	Tier         int          `json:"stage"`
+	Replicas     int          `json:"siblings"`
+	ReplicaIndex int          `json:"ordinal"`
+	Zone         int          `json:"my_zone"`
+	Zones        []string     `json:"failure_domains"`
+	Classes      []wireClass  `json:"profiles"`
+	Tenants      []wireTenant `json:"tenants"`
+	Limits       wireLimits   `json:"limits"`
+	Rules        wireRules    `json:"contract"`
+
+	Membership    string `json:"membership_mode"`
+	CapacityHints string `json:"weights"`
+	WeightUnit    string `json:"counted_by"`
+}
+
+// wireClass is a class of requests.
+type wireClass struct {
+	Name             string                `json:"name"`
+	LatencyObjective balancer.Microseconds `json:"objective_us"`
+	Deadline         balancer.Microseconds `json:"give_up_us"`
+	PriorityWeight   float64               `json:"worth"`
+	LateFraction     float64               `json:"late_share"`
+	Idempotency      string                `json:"repeat"`
+	DedupScope       string                `json:"dedup_scope"`
+	DedupWindow      balancer.Microseconds `json:"dedup_window_us"`
+	OrderedByKey     bool                  `json:"by_arrival"`
+}
+
+// wireTenant is a tenant.
+type wireTenant struct {
+	Name      string  `json:"name"`
+	Share     float64 `json:"portion"`
+	RateQuota float64 `json:"quota_per_s"`
+}
+
+// wireLimits is what the deployment permits.
+type wireLimits struct {
+	DialTimeout     balancer.Microseconds `json:"dial_timeout_us"`
+	IdleClose       balancer.Microseconds `json:"idle_close_us"`
+	MaxAttempts     int                   `json:"try_limit"`
+	RetryAfterHints bool                  `json:"retry_after"`
+	MaxRetryAfter   balancer.Microseconds `json:"max_retry_after_us"`
+}
+
+// wireRules is what backends, clients and the discovery service require of a proxy.
+type wireRules struct {
+	MaxPollInterval    balancer.Microseconds `json:"ask_every_us"`
+	RejectedMayRun     bool                  `json:"busy_is_no_proof"`
+	OrderedKeyCooldown balancer.Microseconds `json:"order_settle_us"`
+	RetryBudgetWindow  balancer.Microseconds `json:"ratio_span_us"`
+	RetryBudgetRatio   float64               `json:"resend_ratio"`
+	RetryBudgetMin     float64               `json:"spare_attempts"`
+	DrainGrace         balancer.Microseconds `json:"drain_grace_us"`
+	SlowStartDuration  balancer.Microseconds `json:"cold_us"`
+	SlowStartCapacity  float64               `json:"start_capacity"`
+	SlowStartOverload  float64               `json:"tip_multiple"`
+}
+
+// balancerSettings maps the object to the balancer's settings. Its errors are *ValueError.
+func (w *wireSettings) balancerSettings() (balancer.Settings, error) {
+	settings := balancer.Settings{
+		Tier:          w.Tier,
+		Replicas:      w.Replicas,
+		ReplicaIndex:  w.ReplicaIndex,
+		Zone:          w.Zone,
+		Zones:         len(w.Zones),
+		CapacityHints: w.CapacityHints != weightsUnset && w.CapacityHints != weightsOff,
+		WeighByWork:   w.WeightUnit == unitWork,
+		MaxAttempts:   w.Limits.MaxAttempts,
+
+		MaxPollInterval:    w.Rules.MaxPollInterval,
+		RejectedMayRun:     w.Rules.RejectedMayRun,
+		OrderedKeyCooldown: w.Rules.OrderedKeyCooldown,
+		RetryBudgetWindow:  w.Rules.RetryBudgetWindow,
+		RetryBudgetRatio:   w.Rules.RetryBudgetRatio,
+		RetryBudgetMin:     w.Rules.RetryBudgetMin,
+		DrainGrace:         w.Rules.DrainGrace,
+		SlowStartDuration:  w.Rules.SlowStartDuration,
+		SlowStartCapacity:  w.Rules.SlowStartCapacity,
+		SlowStartOverload:  w.Rules.SlowStartOverload,
+	}
+	if w.Limits.RetryAfterHints {
+		settings.MaxRetryAfter = w.Limits.MaxRetryAfter
+	}
+	switch w.Membership {
+	case membershipPushed:
+	case membershipSubscribed:
+		settings.SubscribeRequired = true
+	default:
+		return balancer.Settings{}, &ValueError{Path: "membership_mode", Value: w.Membership, Err: ErrUnknownWord}
+	}
+	for i := range w.Classes {
+		class, err := w.Classes[i].balancerClass(i)
+		if err != nil {
+			return balancer.Settings{}, err
+		}
+		settings.Classes = append(settings.Classes, class)
+	}
+	for _, tenant := range w.Tenants {
+		settings.Tenants = append(settings.Tenants, balancer.Tenant(tenant))
+	}
+	return settings, nil
+}
+
+// balancerClass maps the class with the given index.
+func (w *wireClass) balancerClass(index int) (balancer.Class, error) {
+	idempotency, ok := parseIdempotency(w.Idempotency)
+	if !ok {
+		path := classPath(index, "repeat")
+		return balancer.Class{}, &ValueError{Path: path, Value: w.Idempotency, Err: ErrUnknownWord}
+	}
+	scope, ok := parseDedupScope(w.DedupScope, idempotency)
+	if !ok {
+		path := classPath(index, "dedup_scope")
+		return balancer.Class{}, &ValueError{Path: path, Value: w.DedupScope, Err: ErrUnknownWord}
+	}
+	return balancer.Class{
+		Name:             w.Name,
+		LatencyObjective: w.LatencyObjective,
+		Deadline:         w.Deadline,
+		PriorityWeight:   w.PriorityWeight,
+		LateFraction:     w.LateFraction,
+		Idempotency:      idempotency,
+		DedupScope:       scope,
+		DedupWindow:      w.DedupWindow,
+		OrderedByKey:     w.OrderedByKey,
+	}, nil
+}
+
+// classPath is the JSON path of a field of the class with the given index.
+func classPath(index int, field string) string { return fmt.Sprintf("profiles[%d].%s", index, field) }
+
+// parseIdempotency reads a word of profiles[].repeat.
+func parseIdempotency(word string) (idempotency balancer.Idempotency, ok bool) {
+	switch word {
+	case repeatIdempotent:
+		return balancer.Idempotent, true
+	case repeatIdempotentWithKey:
+		return balancer.IdempotentWithKey, true
+	case repeatNotIdempotent:
+		return balancer.NotIdempotent, true
+	}
+	return 0, false
+}
+
+// parseDedupScope reads a word of profiles[].dedup_scope. Idempotency keys without a stated scope get the
+// narrowest one, as no endpoint outside it is known to discard duplicates.
+func parseDedupScope(word string, idempotency balancer.Idempotency) (scope balancer.DedupScope, ok bool) {
+	switch word {
+	case dedupScopeUnset:
+		if idempotency == balancer.IdempotentWithKey {
+			return balancer.DedupCell, true
+		}
+		return balancer.DedupTier, true
+	case dedupScopeTier:
+		return balancer.DedupTier, true
+	case dedupScopeZone:
+		return balancer.DedupZone, true
+	case dedupScopeCell:
+		return balancer.DedupCell, true
+	}
+	return 0, false
+}
