--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,6 @@
-// Command simadapter runs many balancers on the simulator's wire: events on standard input, actions on
-// standard output. It decodes and encodes; every decision is made in package balancer.
+// Command simadapter runs the balancers of many simulated proxies in one process. It reads the simulator's
+// events from standard input and writes the balancers' actions to standard output, as JSON lines; package
+// balancer makes every decision.
 package main
 
 import (
