--- a/cmd/simadapter/events.go
+++ b/cmd/simadapter/events.go
@@ -10,35 +10,35 @@
 // wireEvent is one line of input: an object with a single key, the event's name. Fields that an event must
 // have are pointers. Times and durations are in microseconds.
 type wireEvent struct {
-	BatchStart      *wireBatchStart      `json:"mark"`
-	BatchEnd        *struct{}            `json:"your_turn"`
-	EndpointList    *wireEndpointList    `json:"ledger"`
-	InstanceStarted *wireInstanceStarted `json:"new_instance"`
-	InstanceStopped *wireInstance        `json:"power_off"`
-	EndpointsUpdate *wireEndpointsUpdate `json:"membership"`
-	RequestArrived  *wireRequest         `json:"job_in"`
-	ResponseStarted *wireRequestID       `json:"established"`
-	AttemptEnded    *wireOutcome         `json:"completed"`
-	RequestCanceled *wireRequestID       `json:"withdrawn"`
-	TimerFired      *wireTimer           `json:"tick_due"`
-	HealthChecked   *wireInstance        `json:"probe_done"` // the balancer sends no health checks
-	PeerMessage     *wireInstance        `json:"message"`    // nor messages to its replicas
+	BatchStart       *wireBatchStart      `json:"mark"`
+	BatchEnd         *struct{}            `json:"your_turn"`
+	EndpointList     *wireEndpointList    `json:"ledger"`
+	InstanceStarted  *wireInstanceStarted `json:"new_instance"`
+	InstanceStopped  *wireInstance        `json:"power_off"`
+	EndpointsUpdate  *wireEndpointsUpdate `json:"membership"`
+	RequestArrived   *wireRequest         `json:"job_in"`
+	ResponseStarted  *wireRequestID       `json:"established"`
+	AttemptEnded     *wireOutcome         `json:"completed"`
+	RequestCancelled *wireRequestID       `json:"withdrawn"`
+	TimerFired       *wireTimer           `json:"tick_due"`
+	HealthChecked    *wireInstance        `json:"probe_done"` // the balancer sends no health checks
+	PeerMessage      *wireInstance        `json:"message"`    // nor messages to its replicas
 }
 
 // The events' names, as errors give them.
 const (
-	eventBatchStart      = "mark"
-	eventEndpointList    = "ledger"
-	eventInstanceStarted = "new_instance"
-	eventInstanceStopped = "power_off"
-	eventEndpointsUpdate = "membership"
-	eventRequestArrived  = "job_in"
-	eventResponseStarted = "established"
-	eventAttemptEnded    = "completed"
-	eventRequestCanceled = "withdrawn"
-	eventTimerFired      = "tick_due"
-	eventHealthChecked   = "probe_done"
-	eventPeerMessage     = "message"
+	eventBatchStart       = "mark"
+	eventEndpointList     = "ledger"
+	eventInstanceStarted  = "new_instance"
+	eventInstanceStopped  = "power_off"
+	eventEndpointsUpdate  = "membership"
+	eventRequestArrived   = "job_in"
+	eventResponseStarted  = "established"
+	eventAttemptEnded     = "completed"
+	eventRequestCancelled = "withdrawn"
+	eventTimerFired       = "tick_due"
+	eventHealthChecked    = "probe_done"
+	eventPeerMessage      = "message"
 )
 
 // wireBatchStart begins a batch; all of its events happen at its time.
--- a/cmd/simadapter/serve.go
+++ b/cmd/simadapter/serve.go
@@ -86,8 +86,8 @@
 		return inEvent(eventResponseStarted, a.startResponse(event.ResponseStarted))
 	case event.AttemptEnded != nil:
 		return inEvent(eventAttemptEnded, a.handleOutcome(event.AttemptEnded))
-	case event.RequestCanceled != nil:
-		return inEvent(eventRequestCanceled, a.cancelRequest(event.RequestCanceled))
+	case event.RequestCancelled != nil:
+		return inEvent(eventRequestCancelled, a.cancelRequest(event.RequestCancelled))
 	case event.TimerFired != nil:
 		return inEvent(eventTimerFired, a.fireTimer(event.TimerFired))
 	case event.HealthChecked != nil:
--- a/internal/emulator/backend/backend_test.go
+++ b/internal/emulator/backend/backend_test.go
@@ -5,6 +5,7 @@
 	"math"
 	"slices"
 	"strconv"
+	"strings"
 	"sync"
 	"testing"
 	"testing/synctest"
@@ -15,10 +16,10 @@
 )
 
 const (
-	millisecond = time.Millisecond
-	someClass   = 0 // of testClasses
-	keyedClass  = 1
-	unsafeClass = 2
+	millisecond        = time.Millisecond
+	idempotentClass    = 0 // of testClasses
+	keyedClass         = 1
+	nonIdempotentClass = 2
 )
 
 var testClasses = []balancer.Class{
@@ -48,145 +49,173 @@
 	}
 }
 
-// attempt makes one attempt that is given up after the given time.
-func attempt(tier *Tier, id string, class int, patience time.Duration) balancer.Status {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// runAttempt makes one attempt at backend b1 and cancels it after the timeout.
+func runAttempt(tier *Tier, id string, class int, timeout time.Duration) balancer.Status {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	return tier.Attempt(ctx, "b1", hollow.Call{ID: id, Class: class, Deadline: time.Now().Add(patience)})
+	return tier.Attempt(ctx, "b1", hollow.Call{ID: id, Class: class, Deadline: time.Now().Add(timeout)})
 }
 
-// attempts makes n attempts at once and returns how many ended in each way.
-func attempts(tier *Tier, n int, patience time.Duration) map[balancer.Status]int {
-	ends := map[balancer.Status]int{}
+// runAttempts makes n concurrent attempts and returns the number of each outcome.
+func runAttempts(tier *Tier, n int, timeout time.Duration) map[balancer.Status]int {
+	outcomes := map[balancer.Status]int{}
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	for i := range n {
 		group.Go(func() {
-			status := attempt(tier, strconv.Itoa(i), someClass, patience)
+			status := runAttempt(tier, strconv.Itoa(i), idempotentClass, timeout)
 			mu.Lock()
 			defer mu.Unlock()
-			ends[status]++
+			outcomes[status]++
 		})
 	}
 	group.Wait()
-	return ends
+	return outcomes
 }
 
-func TestNewRefusesWhatMakesNoSense(t *testing.T) {
-	for name, spoil := range map[string]func(*Config){
-		"no names":           func(c *Config) { c.Names = nil },
-		"a name twice":       func(c *Config) { c.Names = []string{"b1", "b1"} },
-		"no work":            func(c *Config) { c.Work = 0 },
-		"negative latency":   func(c *Config) { c.Latency = -1 },
-		"no workers":         func(c *Config) { c.Workers = 0 },
-		"negative queue":     func(c *Config) { c.Queue = -1 },
-		"no cold span":       func(c *Config) { c.Cold = ColdStart{Capacity: 0.3, TipMultiple: 3, FallAfter: 1} },
-		"no cold capacity":   func(c *Config) { c.Cold = ColdStart{Span: 1, TipMultiple: 3, FallAfter: 1} },
-		"capacity above one": func(c *Config) { c.Cold = ColdStart{Capacity: 2, Span: 1, TipMultiple: 3, FallAfter: 1} },
-		"crowd of none":      func(c *Config) { c.Crowded = Crowding{Slowdown: 2} },
-		"crowd that hurries": func(c *Config) { c.Crowded = Crowding{Calls: 1, Slowdown: 0.5} },
-		"no tip multiple":    func(c *Config) { c.Cold = ColdStart{Capacity: 0.3, Span: 1, FallAfter: 1} },
-		"no fall time":       func(c *Config) { c.Cold = ColdStart{Capacity: 0.3, Span: 1, TipMultiple: 3} },
+func TestNewInvalidConfigGivesError(t *testing.T) {
+	cold := ColdStart{InitialCapacity: 0.3, WarmUp: 1, OverloadFactor: 3, OverloadWindow: 1}
+	for _, test := range []struct {
+		name   string
+		change func(*Config)
+		want   string // in the error
+	}{
+		{"no names", func(c *Config) { c.Names = nil }, "Names"},
+		{"duplicate name", func(c *Config) { c.Names = []string{"b1", "b1"} }, `"b1"`},
+		{"no work", func(c *Config) { c.Work = 0 }, "Work"},
+		{"negative latency", func(c *Config) { c.Latency = -1 }, "Latency"},
+		{"no workers", func(c *Config) { c.Workers = 0 }, "Workers"},
+		{"negative queue", func(c *Config) { c.Queue = -1 }, "Queue"},
+		{"no warm-up", func(c *Config) { c.ColdStart.WarmUp = 0 }, "ColdStart.WarmUp"},
+		{"no initial capacity", func(c *Config) { c.ColdStart.InitialCapacity = 0 }, "ColdStart.InitialCapacity"},
+		{"initial capacity above 1", func(c *Config) { c.ColdStart.InitialCapacity = 2 }, "ColdStart.InitialCapacity"},
+		{"no overload factor", func(c *Config) { c.ColdStart.OverloadFactor = 0 }, "ColdStart.OverloadFactor"},
+		{"no overload window", func(c *Config) { c.ColdStart.OverloadWindow = 0 }, "ColdStart.OverloadWindow"},
+		{"congestion without threshold", func(c *Config) { c.Congestion = Congestion{Slowdown: 2} }, "Congestion"},
+		{"slowdown below 1", func(c *Config) { c.Congestion = Congestion{Threshold: 1, Slowdown: 0.5} }, "Congestion"},
 	} {
-		cfg := testConfig()
-		spoil(&cfg)
-		if _, err := New(cfg); err == nil {
-			t.Errorf("%s: no error", name)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			cfg := testConfig()
+			cfg.ColdStart = cold
+			test.change(&cfg)
+			if _, err := New(cfg); err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("got error %v, want %s in it", err, test.want)
+			}
+		})
 	}
+}
+
+func TestSetFaultsInvalidRatioGivesError(t *testing.T) {
 	tier := newTier(t, testConfig())
-	for _, f := range []Faults{{FailPart: -0.1}, {StallPart: 1.1}, {FailPart: 0.6, StallPart: 0.6}, {FailPart: math.NaN()},
-		{ResetPart: -0.1}, {FailPart: 0.6, ResetPart: 0.6}, {LatePart: 1.1}, {LatePart: math.NaN()}, {LateMost: -1}} {
-		if tier.SetFaults(f) == nil {
-			t.Errorf("%+v: no error", f)
-		}
+	for _, test := range []struct {
+		name   string
+		faults Faults
+	}{
+		{"negative errors", Faults{ErrorRatio: -0.1}},
+		{"stalls above 1", Faults{StallRatio: 1.1}},
+		{"errors and stalls above 1", Faults{ErrorRatio: 0.6, StallRatio: 0.6}},
+		{"errors not a number", Faults{ErrorRatio: math.NaN()}},
+		{"negative resets", Faults{ResetRatio: -0.1}},
+		{"errors and resets above 1", Faults{ErrorRatio: 0.6, ResetRatio: 0.6}},
+		{"delayed above 1", Faults{DelayRatio: 1.1}},
+		{"delayed not a number", Faults{DelayRatio: math.NaN()}},
+		{"negative delay", Faults{MaxDelay: -1}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if tier.SetFaults(test.faults) == nil {
+				t.Error("no error")
+			}
+		})
 	}
-	if tier.Crash("other") == nil {
-		t.Error("crash of an unknown backend: no error")
+}
+
+func TestCrashUnknownBackendGivesError(t *testing.T) {
+	if newTier(t, testConfig()).Crash("other") == nil {
+		t.Error("no error")
 	}
 }
 
-func TestServesAndTurnsAway(t *testing.T) {
+func TestAttemptBeyondQueueIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tier := newTier(t, testConfig())
-		ends := attempts(tier, 5, time.Second)
-		if ends[balancer.OK] != 3 || ends[balancer.Rejected] != 2 {
-			t.Errorf("two workers and a place in the queue: %v of five calls at once", ends)
+		outcomes := runAttempts(tier, 5, time.Second)
+		if outcomes[balancer.OK] != 3 || outcomes[balancer.Rejected] != 2 {
+			t.Errorf("two workers and one place in the queue: got %v for 5 concurrent attempts", outcomes)
 		}
 		c := tier.Counts()
-		if c.Arrived != 5 || c.ArrivedByClass[someClass] != 5 || c.Served != 3 || c.TurnedAway != 2 ||
+		if c.Arrivals != 5 || c.ArrivalsByClass[idempotentClass] != 5 || c.Served != 3 || c.Rejected != 2 ||
 			c.InFlight != 0 || c.InFlightPeak < 3 {
 			t.Errorf("counts %+v", c)
 		}
 		if got := tier.Attempt(t.Context(), "other", hollow.Call{}); got != balancer.ConnectFailed {
-			t.Errorf("an unknown backend: status %v", got)
+			t.Errorf("unknown backend: got status %v", got)
 		}
 	})
 }
 
-func TestTimeOfCalls(t *testing.T) {
+func TestAttemptDurationFollowsConfig(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tier := newTier(t, testConfig())
 		const calls = 2000
 		begin := time.Now()
 		for i := range calls {
 			sent := time.Now()
-			if got := attempt(tier, strconv.Itoa(i), someClass, time.Second); got != balancer.OK {
+			if got := runAttempt(tier, strconv.Itoa(i), idempotentClass, time.Second); got != balancer.OK {
 				t.Fatalf("status %v", got)
 			}
 			if took := time.Since(sent); took < 6*millisecond {
-				t.Fatalf("a call took %v, less than half of the means", took)
+				t.Fatalf("an attempt took %v, less than half of the means", took)
 			}
 		}
 		mean := time.Since(begin) / calls // of 12 ms, with a standard deviation of some 5 ms
 		if mean < 11500*time.Microsecond || mean > 12500*time.Microsecond {
-			t.Errorf("mean time %v; want about 12 ms", mean)
+			t.Errorf("mean duration %v, want about 12 ms", mean)
 		}
 	})
 }
 
-func TestFaults(t *testing.T) {
+func TestAttemptFaultsFollowRatios(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tier := newTier(t, testConfig())
-		must(t, tier.SetFaults(Faults{FailPart: 0.3, StallPart: 0.2}))
-		ends := map[balancer.Status]int{}
+		must(t, tier.SetFaults(Faults{ErrorRatio: 0.3, StallRatio: 0.2}))
+		outcomes := map[balancer.Status]int{}
 		for i := range 1000 {
 			sent := time.Now()
-			status := attempt(tier, strconv.Itoa(i), someClass, time.Second)
-			if ends[status]++; status == balancer.Cancelled && time.Since(sent).Truncate(timerSlack) != time.Second {
-				t.Fatalf("a stalled call ended after %v", time.Since(sent))
+			status := runAttempt(tier, strconv.Itoa(i), idempotentClass, time.Second)
+			if outcomes[status]++; status == balancer.Cancelled && time.Since(sent).Truncate(timerSlack) != time.Second {
+				t.Fatalf("a stalled attempt ended after %v", time.Since(sent))
 			}
 		}
 		within := func(status balancer.Status, least, most int) {
-			if ends[status] < least || ends[status] > most {
-				t.Errorf("%d of 1000 ended with status %v; want %d to %d", ends[status], status, least, most)
+			if outcomes[status] < least || outcomes[status] > most {
+				t.Errorf("%d of 1000 attempts ended with status %v, want %d to %d", outcomes[status], status, least, most)
 			}
 		}
 		within(balancer.Error, 250, 350)
 		within(balancer.Cancelled, 150, 250)
 		within(balancer.OK, 450, 550)
-		if c := tier.Counts(); c.Failed != int64(ends[balancer.Error]) || c.Abandoned != int64(ends[balancer.Cancelled]) || c.InFlight != 0 {
+		if c := tier.Counts(); c.Failed != int64(outcomes[balancer.Error]) || c.Cancelled != int64(outcomes[balancer.Cancelled]) || c.InFlight != 0 {
 			t.Errorf("counts %+v", c)
 		}
 	})
 }
 
-func TestStalledCallsKeepTheirWorkers(t *testing.T) {
+func TestStalledAttemptKeepsWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tier := newTier(t, testConfig())
-		must(t, tier.SetFaults(Faults{StallPart: 1}))
-		ends := attempts(tier, 5, 100*millisecond)
-		if ends[balancer.Cancelled] != 3 || ends[balancer.Rejected] != 2 {
-			t.Errorf("ends %v", ends)
+		must(t, tier.SetFaults(Faults{StallRatio: 1}))
+		outcomes := runAttempts(tier, 5, 100*millisecond)
+		if outcomes[balancer.Cancelled] != 3 || outcomes[balancer.Rejected] != 2 {
+			t.Errorf("got %v", outcomes)
 		}
 		must(t, tier.SetFaults(Faults{}))
-		if ends = attempts(tier, 2, 100*millisecond); ends[balancer.OK] != 2 {
-			t.Errorf("after the stall: ends %v", ends)
+		if outcomes = runAttempts(tier, 2, 100*millisecond); outcomes[balancer.OK] != 2 {
+			t.Errorf("after the stall: got %v", outcomes)
 		}
 	})
 }
 
-func TestHang(t *testing.T) {
+func TestHangBlocksAttemptsUntilResume(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tier := newTier(t, testConfig())
 		must(t, tier.Hang("b1"))
@@ -195,17 +224,17 @@
 				t.Error(err)
 			}
 		})
-		if got := attempt(tier, "impatient", someClass, 200*millisecond); got != balancer.Cancelled {
+		if got := runAttempt(tier, "impatient", idempotentClass, 200*millisecond); got != balancer.Cancelled {
 			t.Errorf("during the hang: status %v", got)
 		}
 		sent := time.Now()
-		if got := attempt(tier, "patient", someClass, time.Second); got != balancer.OK || time.Since(sent) < 100*millisecond {
+		if got := runAttempt(tier, "patient", idempotentClass, time.Second); got != balancer.OK || time.Since(sent) < 100*millisecond {
 			t.Errorf("status %v after %v; want OK after the hang", got, time.Since(sent))
 		}
 	})
 }
 
-func TestCrashAndStart(t *testing.T) {
+func TestCrashResetsAttemptsUntilStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tier := newTier(t, testConfig())
 		must(t, tier.Hang("b1"))
@@ -214,23 +243,23 @@
 				t.Error(err)
 			}
 		})
-		if ends := attempts(tier, 3, time.Second); ends[balancer.Reset] != 3 {
-			t.Errorf("at the crash: %v", ends)
+		if outcomes := runAttempts(tier, 3, time.Second); outcomes[balancer.Reset] != 3 {
+			t.Errorf("at the crash: %v", outcomes)
 		}
-		if got := attempt(tier, "down", someClass, time.Second); got != balancer.ConnectFailed {
+		if got := runAttempt(tier, "down", idempotentClass, time.Second); got != balancer.ConnectFailed {
 			t.Errorf("down: status %v", got)
 		}
 		must(t, tier.Start("b1"))
-		if got := attempt(tier, "up", someClass, time.Second); got != balancer.OK {
+		if got := runAttempt(tier, "up", idempotentClass, time.Second); got != balancer.OK {
 			t.Errorf("up: status %v", got)
 		}
-		if c := tier.Counts(); c.Arrived != 4 || c.Reset != 3 || c.InFlight != 0 {
+		if c := tier.Counts(); c.Arrivals != 4 || c.Reset != 3 || c.InFlight != 0 {
 			t.Errorf("counts %+v", c)
 		}
 	})
 }
 
-// nextTier takes calls to the next tier.
+// nextTier is a Caller that records its calls.
 type nextTier struct {
 	calls  []hollow.Call
 	answer func(ctx context.Context) hollow.Result
@@ -241,7 +270,7 @@
 	return n.answer(ctx)
 }
 
-func TestCallsTheNextTier(t *testing.T) {
+func TestAttemptCallsNextTierWithRemainingTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tier := newTier(t, testConfig())
 		next := &nextTier{answer: func(context.Context) hollow.Result { return hollow.Result{Outcome: hollow.Served} }}
@@ -260,7 +289,7 @@
 		got := next.calls[0]
 		// The time that the proxy waits, in whole milliseconds, counts from the call's arrival.
 		if d := got.Deadline.Sub(sent); d < 50*millisecond+500*time.Microsecond || d > 60*millisecond {
-			t.Errorf("the next tier has until %v after the call was sent", d)
+			t.Errorf("the deadline at the next tier is %v after the send", d)
 		}
 		got.Deadline = time.Time{}
 		if got != (hollow.Call{ID: "b1/1", Class: keyedClass, Tenant: 1, Key: "k", Depth: 4}) {
@@ -268,58 +297,58 @@
 		}
 		next.answer = func(context.Context) hollow.Result { return hollow.Result{Outcome: hollow.Refused} }
 		if got := send(time.Now().Add(time.Second)); got != balancer.Error {
-			t.Errorf("refused by the next tier: status %v", got)
+			t.Errorf("rejected by the next tier: status %v", got)
 		}
 		next.answer = func(ctx context.Context) hollow.Result {
 			<-ctx.Done()
 			return hollow.Result{}
 		}
 		if got := send(time.Now().Add(100 * millisecond)); got != balancer.Cancelled {
-			t.Errorf("given up during the call to the next tier: status %v", got)
+			t.Errorf("cancelled during the call to the next tier: status %v", got)
 		}
-		if c := tier.Counts(); c.Served != 1 || c.Failed != 1 || c.Abandoned != 1 {
+		if c := tier.Counts(); c.Served != 1 || c.Failed != 1 || c.Cancelled != 1 {
 			t.Errorf("counts %+v", c)
 		}
 	})
 }
 
-func TestForbiddenRuns(t *testing.T) {
+func TestCountsForbiddenRunsByIdempotency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tier := newTier(t, testConfig())
 		run := func(id string, class int, forbidden int64) {
 			t.Helper()
-			attempt(tier, id, class, time.Second)
+			runAttempt(tier, id, class, time.Second)
 			if got := tier.Counts().ForbiddenRuns; got != forbidden {
 				t.Errorf("%s: %d forbidden runs; want %d", id, got, forbidden)
 			}
 		}
-		run("safe", someClass, 0)
-		run("safe", someClass, 0)
+		run("idempotent", idempotentClass, 0)
+		run("idempotent", idempotentClass, 0)
 		run("keyed", keyedClass, 0)
 		run("keyed", keyedClass, 0)
-		run("unsafe", unsafeClass, 0)
-		run("unsafe", unsafeClass, 1)
+		run("not idempotent", nonIdempotentClass, 0)
+		run("not idempotent", nonIdempotentClass, 1)
 		time.Sleep(500 * millisecond) // the window of the keyed class
 		run("keyed", keyedClass, 2)
 		time.Sleep(3 * time.Second) // longer than any repeat may come
-		run("another", unsafeClass, 2)
-		if log := tier.books.runs; len(log.first) != 1 || len(log.order) != 1 {
-			t.Errorf("%d runs are remembered; want the last one", len(log.first))
+		run("another", nonIdempotentClass, 2)
+		if log := tier.counters.runs; len(log.firstRun) != 1 || len(log.byFirstRun) != 1 {
+			t.Errorf("%d runs in the log, want the last one", len(log.firstRun))
 		}
 	})
 }
 
-func TestColdBackendIsSlower(t *testing.T) {
+func TestColdBackendTakesLonger(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := testConfig()
 		cfg.Latency = 0
-		cfg.Cold = ColdStart{Capacity: 0.25, Span: 1000 * time.Second, TipMultiple: 100, FallAfter: time.Second}
+		cfg.ColdStart = ColdStart{InitialCapacity: 0.25, WarmUp: 1000 * time.Second, OverloadFactor: 100, OverloadWindow: time.Second}
 		tier := newTier(t, cfg)
 		must(t, tier.Start("b1"))
 		mean := func(calls int) time.Duration {
 			begin := time.Now()
 			for i := range calls {
-				attempt(tier, strconv.Itoa(i), someClass, time.Second)
+				runAttempt(tier, strconv.Itoa(i), idempotentClass, time.Second)
 			}
 			return time.Since(begin) / time.Duration(calls)
 		}
@@ -333,39 +362,48 @@
 	})
 }
 
-func TestColdBackendFalls(t *testing.T) {
-	cold := ColdStart{Capacity: 0.5, Span: 100 * time.Second, TipMultiple: 2, FallAfter: time.Second}
-	// Two workers of 10 ms do 200 calls a second, half of that cold, twice that is borne: 200, and 2 x 14.1 + 2.
-	const bears = 230
-	for _, c := range []struct {
-		calls int
-		falls bool
-	}{{bears - 25, false}, {bears + 25, true}} { // work is drawn: some 6 calls' worth of chance
-		synctest.Test(t, func(t *testing.T) {
-			cfg := testConfig()
-			cfg.Cold = cold
-			tier := newTier(t, cfg)
-			must(t, tier.Start("b1"))
-			ends := attempts(tier, c.calls, time.Second)
-			counts := tier.Counts()
-			if fell := counts.Fallen == 1; fell != c.falls || fell != (counts.ColdWorst > 1) || fell != (ends[balancer.Reset] > 0) {
-				t.Errorf("%d calls at once: ends %v, counts %+v", c.calls, ends, counts)
-			}
-			if mean := counts.ColdWorst * bears / 200; math.Abs(counts.ColdWorstMean-mean) > 0.01 {
-				t.Errorf("worst load %v of the mean; want %v", counts.ColdWorstMean, mean)
-			}
-			got := attempt(tier, "later", someClass, time.Second)
-			if down := got == balancer.ConnectFailed; down != c.falls {
-				t.Errorf("after %d calls at once: status %v", c.calls, got)
-			}
-			if !c.falls && counts.ColdArrived != int64(c.calls) {
-				t.Errorf("%d calls came to the cold backend; want %d", counts.ColdArrived, c.calls)
-			}
+func TestColdBackendCrashesAboveOverloadThreshold(t *testing.T) {
+	// Two workers of 10 ms serve 200 calls a second; half of that cold, times the factor of 2, is sustainable.
+	const sustainable = 200
+	const threshold = 230 // 200 + 2 x 14.1 + 2
+	for _, test := range []struct {
+		name    string
+		calls   int // the drawn work of so many calls differs from its mean by some 6 calls
+		crashes bool
+	}{
+		{"below", threshold - 25, false},
+		{"above", threshold + 25, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				cfg := testConfig()
+				cfg.ColdStart = ColdStart{InitialCapacity: 0.5, WarmUp: 100 * time.Second, OverloadFactor: 2,
+					OverloadWindow: time.Second}
+				tier := newTier(t, cfg)
+				must(t, tier.Start("b1"))
+				outcomes := runAttempts(tier, test.calls, time.Second)
+				counts := tier.Counts()
+				crashed := counts.Overloaded == 1
+				if crashed != test.crashes || crashed != (counts.ColdPeakLoad > 1) || crashed != (outcomes[balancer.Reset] > 0) {
+					t.Errorf("outcomes %v, counts %+v", outcomes, counts)
+				}
+				want := counts.ColdPeakLoad * threshold / sustainable
+				if math.Abs(counts.ColdPeakMeanLoad-want) > 0.01 {
+					t.Errorf("peak load %v in parts of the sustainable load, want %v", counts.ColdPeakMeanLoad, want)
+				}
+				status := runAttempt(tier, "later", idempotentClass, time.Second)
+				if down := status == balancer.ConnectFailed; down != test.crashes {
+					t.Errorf("afterwards: status %v", status)
+				}
+				if !test.crashes && counts.ColdArrivals != int64(test.calls) {
+					t.Errorf("%d arrivals at the cold backend, want %d", counts.ColdArrivals, test.calls)
+				}
+			})
 		})
 	}
 }
 
-func TestColdLoadForgetsOldCalls(t *testing.T) {
+func TestColdLoadDropsArrivalsOutsideWindow(t *testing.T) {
 	var load coldLoad
 	start := time.Now()
 	for i := range 10 {
@@ -377,51 +415,51 @@
 	}
 }
 
-func TestSameSeedSameEnds(t *testing.T) {
-	play := func() (ends []balancer.Status, took time.Duration) {
+func TestAttemptsWithSameSeedRepeatOutcomes(t *testing.T) {
+	runOnce := func() (outcomes []balancer.Status, took time.Duration) {
 		synctest.Test(t, func(t *testing.T) {
 			tier := newTier(t, testConfig())
-			must(t, tier.SetFaults(Faults{FailPart: 0.5}))
+			must(t, tier.SetFaults(Faults{ErrorRatio: 0.5}))
 			begin := time.Now()
 			for i := range 200 {
-				ends = append(ends, attempt(tier, strconv.Itoa(i), someClass, 15*millisecond))
+				outcomes = append(outcomes, runAttempt(tier, strconv.Itoa(i), idempotentClass, 15*millisecond))
 			}
 			took = time.Since(begin)
 		})
-		return ends, took
+		return outcomes, took
 	}
-	first, firstTook := play()
-	second, secondTook := play()
+	first, firstTook := runOnce()
+	second, secondTook := runOnce()
 	if !slices.Equal(first, second) || firstTook != secondTook {
-		t.Errorf("two plays of one seed took %v and %v, and ended\n%v\n%v", firstTook, secondTook, first, second)
+		t.Errorf("two runs with one seed took %v and %v, with outcomes\n%v\n%v", firstTook, secondTook, first, second)
 	}
 }
 
-// Attempts that begin at one instant, and those whose time is up at one, must not make two plays differ.
-func TestAttemptsAtOneInstant(t *testing.T) {
+// Neither the order of attempts that begin at one time nor that of simultaneous time-outs may matter.
+func TestSimultaneousAttemptsRepeatOutcomes(t *testing.T) {
 	const calls = 50
-	play := func() (ends [calls]balancer.Status, times [calls]time.Duration) {
+	runOnce := func() (outcomes [calls]balancer.Status, times [calls]time.Duration) {
 		synctest.Test(t, func(t *testing.T) {
 			cfg := testConfig()
 			cfg.Workers = calls
 			tier := newTier(t, cfg)
-			must(t, tier.SetFaults(Faults{FailPart: 0.3, StallPart: 0.3}))
+			must(t, tier.SetFaults(Faults{ErrorRatio: 0.3, StallRatio: 0.3}))
 			begin := time.Now()
 			var group sync.WaitGroup
 			for i := range calls {
 				group.Go(func() {
-					ends[i] = attempt(tier, strconv.Itoa(i), someClass, 100*millisecond)
+					outcomes[i] = runAttempt(tier, strconv.Itoa(i), idempotentClass, 100*millisecond)
 					times[i] = time.Since(begin)
 				})
 			}
 			group.Wait()
 		})
-		return ends, times
+		return outcomes, times
 	}
-	ends, times := play()
+	outcomes, times := runOnce()
 	for range 5 {
-		if againEnds, againTimes := play(); againEnds != ends || againTimes != times {
-			t.Fatalf("two plays differ:\n%v %v\n%v %v", ends, times, againEnds, againTimes)
+		if againEnds, againTimes := runOnce(); againEnds != outcomes || againTimes != times {
+			t.Fatalf("two runs differ:\n%v %v\n%v %v", outcomes, times, againEnds, againTimes)
 		}
 	}
 	slices.Sort(times[:])
--- a/internal/emulator/backend/counts.go
+++ b/internal/emulator/backend/counts.go
@@ -8,131 +8,134 @@
 	"baylock/balancer"
 )
 
-// Counts is what a tier has counted. An attempt that arrived and is neither served nor failed, turned away, abandoned
-// or reset is still there.
+// Counts are a tier's counts of attempts and runs. An attempt that has arrived is in flight until it is counted as
+// served, failed, rejected, cancelled or reset.
 type Counts struct {
-	Arrived        int64 // attempts whose last byte has come
-	ArrivedByClass []int64
-	Served         int64
-	Failed         int64 // answered with an error, its own or the next tier's
-	TurnedAway     int64 // never begun: the queue was full
-	Abandoned      int64 // given up by the proxy
-	Reset          int64 // cut off by the end of the process
-	InFlight       int   // at the backends now, waiting ones included
-	InFlightPeak   int
-	ForbiddenRuns  int64 // runs of a call beyond its first that its class does not allow
+	Arrivals        int64 // attempts whose last byte has arrived
+	ArrivalsByClass []int64
+	Served          int64
+	Failed          int64 // answered with an error, the backend's own or the next tier's
+	Rejected        int64 // never begun, as the queue was full
+	Cancelled       int64 // by the proxy
+	Reset           int64 // by the end of the process or an injected fault
+	InFlight        int   // queued ones included
+	InFlightPeak    int
+	ForbiddenRuns   int64 // runs of a call beyond its first that its class does not allow
 
-	ColdArrived   int64   // attempts that came to backends while these were cold
-	ColdWorst     float64 // the most that a cold backend got in a window, in parts of that at which it falls
-	ColdWorstMean float64 // the same in parts of TipMultiple times its capacity, with nothing allowed for chance
-	Fallen        int     // backends that have fallen over while cold
+	ColdArrivals     int64   // attempts that arrived at cold backends
+	ColdPeakLoad     float64 // highest load of a cold backend within OverloadWindow, in parts of the threshold
+	ColdPeakMeanLoad float64 // the same in parts of the sustainable load
+	Overloaded       int     // crashes of cold backends
 }
 
-// books keeps the Counts of a tier.
-type books struct {
-	mu     sync.Mutex
+// counters keeps the Counts of a tier.
+type counters struct {
+	mu     sync.Mutex // guards all below
 	counts Counts
 	runs   runLog
 }
 
-func newBooks(classes []balancer.Class) *books {
-	return &books{counts: Counts{ArrivedByClass: make([]int64, len(classes))}, runs: newRunLog(classes)}
+func newCounters(classes []balancer.Class) *counters {
+	return &counters{counts: Counts{ArrivalsByClass: make([]int64, len(classes))}, runs: newRunLog(classes)}
 }
 
-func (b *books) snapshot() Counts {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	counts := b.counts
-	counts.ArrivedByClass = slices.Clone(counts.ArrivedByClass)
+func (c *counters) snapshot() Counts {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	counts := c.counts
+	counts.ArrivalsByClass = slices.Clone(counts.ArrivalsByClass)
 	return counts
 }
 
-func (b *books) arrived(class int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.counts.Arrived++
-	if class >= 0 && class < len(b.counts.ArrivedByClass) {
-		b.counts.ArrivedByClass[class]++
+// arrival counts the arrival of an attempt.
+func (c *counters) arrival(class int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.counts.Arrivals++
+	if class >= 0 && class < len(c.counts.ArrivalsByClass) {
+		c.counts.ArrivalsByClass[class]++
 	}
-	b.counts.InFlight++
-	b.counts.InFlightPeak = max(b.counts.InFlightPeak, b.counts.InFlight)
+	c.counts.InFlight++
+	c.counts.InFlightPeak = max(c.counts.InFlightPeak, c.counts.InFlight)
 }
 
-// ended counts the end of an attempt that has arrived.
-func (b *books) ended(status balancer.Status) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.counts.InFlight--
+// attemptEnded counts the end of an attempt that has arrived.
+func (c *counters) attemptEnded(status balancer.Status) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.counts.InFlight--
 	switch status {
 	case balancer.OK:
-		b.counts.Served++
+		c.counts.Served++
 	case balancer.Error:
-		b.counts.Failed++
+		c.counts.Failed++
 	case balancer.Rejected:
-		b.counts.TurnedAway++
+		c.counts.Rejected++
 	case balancer.Reset:
-		b.counts.Reset++
+		c.counts.Reset++
 	default:
-		b.counts.Abandoned++
+		c.counts.Cancelled++
 	}
 }
 
-// began counts the beginning of a call's work.
-func (b *books) began(id string, class int, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !b.runs.begin(id, class, now) {
-		b.counts.ForbiddenRuns++
+// runStarted counts the start of a call's work.
+func (c *counters) runStarted(id string, class int, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.runs.record(id, class, now) {
+		c.counts.ForbiddenRuns++
 	}
 }
 
-// cold counts an attempt at a cold backend, which falls where the load is above 1.
-func (b *books) cold(load, loadOfMean float64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.counts.ColdArrived++
-	b.counts.ColdWorst = max(b.counts.ColdWorst, load)
-	b.counts.ColdWorstMean = max(b.counts.ColdWorstMean, loadOfMean)
+// coldArrival counts an attempt at a cold backend, which crashes if the load, in parts of its threshold, is above 1.
+func (c *counters) coldArrival(load, meanLoad float64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.counts.ColdArrivals++
+	c.counts.ColdPeakLoad = max(c.counts.ColdPeakLoad, load)
+	c.counts.ColdPeakMeanLoad = max(c.counts.ColdPeakMeanLoad, meanLoad)
 	if load > 1 {
-		b.counts.Fallen++
+		c.counts.Overloaded++
 	}
 }
 
-// runLog remembers when calls that may not simply be repeated were first run, for as long as a repeat may come. All
-// backends of the tier drop the repeats of a keyed call between them, within its class's window.
+// runLog keeps the times of the first runs of calls that are not idempotent, for as long as a retry may arrive. All
+// backends of the tier discard duplicates of a call with an idempotency key, within its class's window.
 type runLog struct {
-	classes []balancer.Class
-	keep    time.Duration
-	first   map[string]time.Time
-	order   []string // IDs by the time of their first run
+	classes    []balancer.Class
+	retention  time.Duration
+	firstRun   map[string]time.Time // by the call's ID
+	byFirstRun []string             // IDs in order of their first run
 }
 
 func newRunLog(classes []balancer.Class) runLog {
-	log := runLog{classes: classes, first: map[string]time.Time{}}
-	for _, c := range classes {
-		log.keep = max(log.keep, max(2*c.Deadline, 2*c.DedupWindow).Duration())
+	log := runLog{classes: classes, firstRun: map[string]time.Time{}}
+	for _, class := range classes {
+		log.retention = max(log.retention, max(2*class.Deadline, 2*class.DedupWindow).Duration())
 	}
 	return log
 }
 
-// begin takes a run and tells whether the call's class allows it.
-func (l *runLog) begin(id string, class int, now time.Time) bool {
+// record records a run and reports whether the call's class allows it.
+func (l *runLog) record(id string, class int, now time.Time) bool {
 	if class < 0 || class >= len(l.classes) || l.classes[class].Idempotency == balancer.Idempotent {
 		return true
 	}
 	l.prune(now)
-	first, again := l.first[id]
-	if !again {
-		l.first[id] = now
-		l.order = append(l.order, id)
+	first, repeated := l.firstRun[id]
+	if !repeated {
+		l.firstRun[id] = now
+		l.byFirstRun = append(l.byFirstRun, id)
 		return true
 	}
-	return l.classes[class].Idempotency == balancer.IdempotentWithKey && now.Sub(first) <= l.classes[class].DedupWindow.Duration()
+	discarded := l.classes[class].Idempotency == balancer.IdempotentWithKey
+	return discarded && now.Sub(first) <= l.classes[class].DedupWindow.Duration()
 }
 
+// prune removes the runs that are older than the retention time.
 func (l *runLog) prune(now time.Time) {
-	for len(l.order) > 0 && now.Sub(l.first[l.order[0]]) > l.keep {
-		delete(l.first, l.order[0])
-		l.order = l.order[1:]
+	for len(l.byFirstRun) > 0 && now.Sub(l.firstRun[l.byFirstRun[0]]) > l.retention {
+		delete(l.firstRun, l.byFirstRun[0])
+		l.byFirstRun = l.byFirstRun[1:]
 	}
 }
--- a/internal/scale/depth/depth.go
+++ b/internal/scale/depth/depth.go
@@ -38,10 +38,10 @@
 
 var troubles = []trouble{
 	{name: "no trouble"},
-	{name: "deepest tier fails 1%", faults: backend.Faults{FailPart: 0.01}},
-	{name: "deepest tier fails 10%", faults: backend.Faults{FailPart: 0.1}},
-	{name: "deepest tier fails 100%", faults: backend.Faults{FailPart: 1}, whole: true},
-	{name: "deepest tier stalls", faults: backend.Faults{StallPart: 1}, whole: true},
+	{name: "deepest tier fails 1%", faults: backend.Faults{ErrorRatio: 0.01}},
+	{name: "deepest tier fails 10%", faults: backend.Faults{ErrorRatio: 0.1}},
+	{name: "deepest tier fails 100%", faults: backend.Faults{ErrorRatio: 1}, whole: true},
+	{name: "deepest tier stalls", faults: backend.Faults{StallRatio: 1}, whole: true},
 }
 
 // in is the size for a case.
--- a/internal/scale/depth/depth_test.go
+++ b/internal/scale/depth/depth_test.go
@@ -41,14 +41,14 @@
 		t.Errorf("summary %+v", sum)
 	}
 	for i, c := range r.counts {
-		if c.Arrived > int64(len(r.calls)) || c.Failed != 0 || c.TurnedAway != 0 || c.ForbiddenRuns != 0 {
+		if c.Arrivals > int64(len(r.calls)) || c.Failed != 0 || c.Rejected != 0 || c.ForbiddenRuns != 0 {
 			t.Errorf("tier %d, for %d calls: %+v", i+1, len(r.calls), c)
 		}
 	}
 }
 
 func TestFailuresOfTheDeepestTier(t *testing.T) {
-	faults := backend.Faults{FailPart: 1}
+	faults := backend.Faults{ErrorRatio: 1}
 	r := playOnce(t, testSize, faults)
 	checkBudgets(t, testSize, r)
 	sum := summarize(testSize, r)
@@ -64,14 +64,14 @@
 }
 
 func TestStallsOfTheDeepestTier(t *testing.T) {
-	faults := backend.Faults{StallPart: 1}
+	faults := backend.Faults{StallRatio: 1}
 	r := playOnce(t, testSize, faults)
 	checkBudgets(t, testSize, r)
 	sum := summarize(testSize, r)
 	if sum.answered > 0.05 {
 		t.Errorf("%.3f of the calls were answered, though the deepest tier stalls", sum.answered)
 	}
-	if r.counts[len(r.counts)-1].Abandoned == 0 {
+	if r.counts[len(r.counts)-1].Cancelled == 0 {
 		t.Error("no attempt at the deepest tier was given up")
 	}
 	if again := playOnce(t, testSize, faults); !reflect.DeepEqual(r, again) {
@@ -93,13 +93,13 @@
 	taken, senders := float64(len(r.calls)), s.fronts
 	for i, c := range r.counts {
 		most := (1+share)*taken + free*spans*float64(senders)
-		if got := float64(c.Arrived); got > most {
+		if got := float64(c.Arrivals); got > most {
 			t.Errorf("tier %d got %v attempts; the budgets allow %v for the %v calls before it", i+1, got, most, taken)
 		}
 		if c.ForbiddenRuns != 0 {
 			t.Errorf("tier %d ran %d calls again though their class forbids it", i+1, c.ForbiddenRuns)
 		}
-		taken, senders = float64(c.Arrived), s.backends
+		taken, senders = float64(c.Arrivals), s.backends
 	}
 	unsafeCalls := int64(0)
 	for _, u := range r.calls {
@@ -108,7 +108,7 @@
 		}
 	}
 	deepest := r.counts[len(r.counts)-1]
-	if got := deepest.ArrivedByClass[unsafeClass]; got > unsafeCalls { // no queue was full
+	if got := deepest.ArrivalsByClass[unsafeClass]; got > unsafeCalls { // no queue was full
 		t.Errorf("%d unsafe attempts at the deepest tier for %d calls", got, unsafeCalls)
 	}
 }
--- a/internal/scale/depth/judge.go
+++ b/internal/scale/depth/judge.go
@@ -38,7 +38,7 @@
 	sum.recovered, sum.recovery = r.recovery(to, s.end())
 	for _, c := range r.counts {
 		sum.forbiddenRuns += c.ForbiddenRuns
-		sum.turnedAway += c.TurnedAway
+		sum.turnedAway += c.Rejected
 		sum.inFlightPeak = max(sum.inFlightPeak, c.InFlightPeak)
 	}
 	return sum
--- a/internal/scale/depth/play.go
+++ b/internal/scale/depth/play.go
@@ -144,8 +144,8 @@
 	s := sample{at: time.Since(p.start), calls: len(p.record.calls)}
 	for _, t := range p.chain.tiers {
 		counts := t.Counts()
-		s.arrived = append(s.arrived, counts.Arrived)
-		s.byClass = counts.ArrivedByClass // the last one stays
+		s.arrived = append(s.arrived, counts.Arrivals)
+		s.byClass = counts.ArrivalsByClass // the last one stays
 	}
 	p.record.samples = append(p.record.samples, s)
 }
--- a/internal/scale/ramp/ramp.go
+++ b/internal/scale/ramp/ramp.go
@@ -167,10 +167,10 @@
 	calls := r.before.served + r.before.others
 	capacity := warmRate * float64(s.backends) * s.before.Seconds()
 	add("calls before, over the capacity of all", "part", float64(calls)/capacity, nil, calls)
-	cold := r.counts.ColdArrived
-	add("worst window of a cold backend over what it bears", "part", r.counts.ColdWorst, scale.Target(1), cold)
-	add("the same with nothing allowed for chance", "part", r.counts.ColdWorstMean, nil, cold)
-	add("cold backends that fell", "backends", float64(r.counts.Fallen), scale.Target(0), cold)
+	cold := r.counts.ColdArrivals
+	add("worst window of a cold backend over what it bears", "part", r.counts.ColdPeakLoad, scale.Target(1), cold)
+	add("the same with nothing allowed for chance", "part", r.counts.ColdPeakMeanLoad, nil, cold)
+	add("cold backends that fell", "backends", float64(r.counts.Overloaded), scale.Target(0), cold)
 	for _, p := range []struct {
 		name string
 		phase
--- a/internal/scale/ramp/ramp_test.go
+++ b/internal/scale/ramp/ramp_test.go
@@ -23,7 +23,7 @@
 			t.Fatal(err)
 		}
 		r = *got
-		r.counts.ArrivedByClass = nil // there is but one
+		r.counts.ArrivalsByClass = nil // there is but one
 	})
 	return r
 }
@@ -34,7 +34,7 @@
 		{callers: 33, wholeZone: true, load: 0.8, tipMultiple: 1.5},
 	} {
 		r := playOnce(t, c)
-		if k := r.counts; k.ColdWorst > 1 || k.ColdWorstMean <= 0 || k.Fallen != 0 || k.ColdArrived == 0 || k.Reset == 0 {
+		if k := r.counts; k.ColdPeakLoad > 1 || k.ColdPeakMeanLoad <= 0 || k.Overloaded != 0 || k.ColdArrivals == 0 || k.Reset == 0 {
 			t.Errorf("%v: counts %+v", c, k)
 		}
 		if r.before.servedPart() < 0.99 || r.outage.servedPart() < 0.95 || r.cold.servedPart() < 0.99 {
@@ -52,8 +52,8 @@
 func TestSameSeedSameRecord(t *testing.T) {
 	c := circumstances{callers: 33, wholeZone: true, load: 0.6, tipMultiple: 3}
 	if first, second := playOnce(t, c), playOnce(t, c); first.before != second.before || first.outage != second.outage ||
-		first.cold != second.cold || first.counts.ColdWorst != second.counts.ColdWorst ||
-		first.counts.Arrived != second.counts.Arrived || first.counts.Served != second.counts.Served {
+		first.cold != second.cold || first.counts.ColdPeakLoad != second.counts.ColdPeakLoad ||
+		first.counts.Arrivals != second.counts.Arrivals || first.counts.Served != second.counts.Served {
 		t.Errorf("two plays of one seed differ:\n%+v\n%+v", first, second)
 	}
 }
@@ -62,7 +62,7 @@
 func TestFallIsShown(t *testing.T) {
 	c := circumstances{callers: 33, load: 0.6, tipMultiple: 0.02}
 	r := playOnce(t, c)
-	if r.counts.Fallen != 1 || r.counts.ColdWorst <= 1 {
+	if r.counts.Overloaded != 1 || r.counts.ColdPeakLoad <= 1 {
 		t.Errorf("counts %+v", r.counts)
 	}
 	missed := 0
--- a/internal/scale/ramp/service.go
+++ b/internal/scale/ramp/service.go
@@ -66,7 +66,7 @@
 	var err error
 	svc.tier, err = backend.New(backend.Config{Names: svc.names, Classes: classes, Work: work, Latency: latency,
 		Workers: workers, Queue: queue, Seed: seeds.Uint64(),
-		Cold: backend.ColdStart{Capacity: startCapacity, Span: coldSpan, TipMultiple: c.tipMultiple, FallAfter: fallAfter}})
+		ColdStart: backend.ColdStart{InitialCapacity: startCapacity, WarmUp: coldSpan, OverloadFactor: c.tipMultiple, OverloadWindow: fallAfter}})
 	if err != nil {
 		return nil, err
 	}
