--- a/internal/emulator/backend/backend_test.go
+++ b/internal/emulator/backend/backend_test.go
@@ -295,7 +295,7 @@
 		if got != (hollow.Call{ID: "b1/1", Class: keyedClass, Tenant: 1, Key: "k", Depth: 4}) {
 			t.Errorf("call to the next tier: %+v", got)
 		}
-		next.answer = func(context.Context) hollow.Result { return hollow.Result{Outcome: hollow.Refused} }
+		next.answer = func(context.Context) hollow.Result { return hollow.Result{Outcome: hollow.Rejected} }
 		if got := send(time.Now().Add(time.Second)); got != balancer.Error {
 			t.Errorf("rejected by the next tier: status %v", got)
 		}
--- a/internal/emulator/hollow/hollow.go
+++ b/internal/emulator/hollow/hollow.go
@@ -1,11 +1,12 @@
-// Package hollow emulates proxies: each has the real client of discovery and the real decision module with its own
-// event loop, but no client sockets, so that a process holds a thousand of them. Time is that of package time, so
-// that a Proxy also runs under testing/synctest.
+// Package hollow emulates proxies without client sockets, so that one process holds a thousand of them. Each has the
+// real discovery client, and the real balancer in an event loop of its own. Time is that of package time, so that a
+// Proxy also runs under testing/synctest.
 package hollow
 
 import (
 	"context"
 	"errors"
+	"fmt"
 	"log/slog"
 	"math/rand/v2"
 	"sync"
@@ -15,14 +16,14 @@
 	"baylock/internal/discovery"
 )
 
-// Call is one call that a Proxy balances.
+// Call is one request that a Proxy balances.
 type Call struct {
-	ID       string // unique among the calls of its Proxy that are not answered yet
+	ID       string // unique among the unanswered calls of its Proxy
 	Class    int
 	Tenant   int
 	Key      string
-	Deadline time.Time // when its client gives it up; zero: after its class's deadline
-	Depth    int       // of the tier that it is for; only handed on
+	Deadline time.Time // zero: that of its class
+	Depth    int       // tier that it is for; not used by the Proxy
 }
 
 // Outcome is how a call ended.
@@ -30,54 +31,55 @@
 
 // The outcomes of a call.
 const (
-	Failed  Outcome = iota // without any promise
-	Served                 // a backend has answered it
-	Refused                // unserved; the client may safely come again
+	Failed   Outcome = iota // it may have run
+	Served                  // answered by a backend
+	Rejected                // not run; a retry is safe
 )
 
 // Result is the final answer of a call.
 type Result struct {
 	Outcome    Outcome
-	RetryAfter time.Duration // of a refusal: come again after this; 0 for no word
-	Attempts   int           // sends that were carried out
+	RetryAfter time.Duration // hint of a rejection; 0: none
+	Attempts   int           // attempts that were sent
 }
 
-// Upstream carries attempts to the backends.
+// Upstream sends attempts to the backends.
 type Upstream interface {
-	// Attempt sends a call to a server and blocks until its outcome. Its context ends at the attempt's time-out, which is
-	// call.Deadline too, or when the attempt is given up; it then returns balancer.Cancelled at once, and the Proxy tells the
-	// two apart. Each Attempt is called on a goroutine of its own.
-	Attempt(ctx context.Context, server string, call Call) balancer.Status
+	// Attempt sends a call to an endpoint and blocks until its outcome. The context ends at the attempt's time-out, which
+	// is call.Deadline, or when the attempt is cancelled; Attempt then returns balancer.Cancelled at once, and the Proxy
+	// tells the two apart. Each Attempt is called on a goroutine of its own.
+	Attempt(ctx context.Context, endpoint string, call Call) balancer.Status
 }
 
-// Config says what a Proxy is to be.
+// Config configures a Proxy.
 type Config struct {
 	Name     string
 	Settings balancer.Settings
-	Zones    []string // the names of the zones that Settings number
+	Zones    []string // names; Settings.Zone is an index into them
 	Seed     uint64   // of all random draws
 
-	// Where discovery is: Address and Dial. The rest is filled in, as the real proxy does, from Settings and Known.
-	// Without an Address there is no discovery, and the Known list stands.
+	// Discovery holds the Address and Dial of the discovery service. The other options follow from Settings and Known, as
+	// in the real proxy. Without an Address the Known list stays in force.
 	Discovery discovery.Options
-	Known     *discovery.List // the list as last known; may be nil
+	Known     *discovery.List // the endpoint list as last known; may be nil
 
-	Upstream Upstream // may be nil where no calls come
-	// Applied is called right after the module has taken in a list from discovery, by the loop: it has to return soon.
-	Applied func(list *discovery.List, at time.Time)
+	Upstream Upstream // may be nil if there are no calls
+	// OnListApplied is called by the loop each time the balancer has applied an update from discovery. It must return
+	// soon, and may be nil.
+	OnListApplied func(list *discovery.List, at time.Time)
 
-	CallsPerSecond float64            // calls that the Proxy draws by itself, a Poisson process; 0: none
-	Answered       func(Call, Result) // takes the final answer of each drawn call, called by the loop; may be nil
+	CallRate float64            // generated calls a second, a Poisson process; 0: none
+	OnResult func(Call, Result) // called by the loop with the final answer of each generated call; may be nil
 }
 
 func (c *Config) check() error {
 	switch {
-	case !(c.CallsPerSecond >= 0):
-		return errors.New("hollow proxy: negative CallsPerSecond")
-	case c.CallsPerSecond > 0 && c.Upstream == nil:
-		return errors.New("hollow proxy: calls are to be drawn, but there is no Upstream")
+	case !(c.CallRate >= 0):
+		return fmt.Errorf("CallRate %v is negative", c.CallRate)
+	case c.CallRate > 0 && c.Upstream == nil:
+		return errors.New("CallRate without an Upstream")
 	case len(c.Zones) != c.Settings.Zones:
-		return errors.New("hollow proxy: Zones do not match Settings.Zones")
+		return fmt.Errorf("%d Zones, but Settings.Zones is %d", len(c.Zones), c.Settings.Zones)
 	}
 	return nil
 }
@@ -88,19 +90,19 @@
 	client *discovery.Client // nil without discovery
 }
 
-// New returns a Proxy that has the known list. It does its work in Run.
+// New returns a Proxy that has the known endpoint list. Run runs it.
 func New(cfg Config) (*Proxy, error) {
 	if err := cfg.check(); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("hollow proxy: %w", err)
 	}
 	decisions, err := balancer.New(cfg.Settings, cfg.Seed)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("hollow proxy: %w", err)
 	}
 	l := newLoop(cfg, decisions)
 	p := &Proxy{loop: l}
 	if cfg.Known != nil {
-		l.apply(balancer.CachedUpdate, cfg.Known)
+		l.applyList(balancer.CachedUpdate, cfg.Known)
 	}
 	if cfg.Discovery.Address != "" {
 		p.client = newClient(cfg, l)
@@ -108,14 +110,14 @@
 	return p, nil
 }
 
-// newClient returns a client of discovery that is set up as the real proxy's is.
+// newClient returns a discovery client with the options of a real proxy's.
 func newClient(cfg Config, l *loop) *discovery.Client {
 	o := cfg.Discovery
 	o.Known, o.Ask, o.AwaitRequest = discovery.NoVersion, cfg.Settings.SubscribeRequired, false
 	if cfg.Known != nil {
 		o.Known, o.AwaitRequest = cfg.Known.Index, cfg.Settings.SubscribeRequired
 	}
-	o.Updates, o.Requests = l.lists, l.watchRequests
+	o.Updates, o.Requests = l.updates, l.watchRequests
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
@@ -125,32 +127,32 @@
 	return discovery.NewClient(o)
 }
 
-// Run does the Proxy's work until the context ends, and returns when all of it has ended. It is called once.
+// Run runs the Proxy until the context ends, and returns when all of its goroutines have ended. It is called once.
 func (p *Proxy) Run(ctx context.Context) {
-	var parts sync.WaitGroup
+	var client sync.WaitGroup
 	if p.client != nil {
-		parts.Go(func() { p.client.Run(ctx) })
+		client.Go(func() { p.client.Run(ctx) })
 	}
 	p.loop.run(ctx)
-	parts.Wait()
+	client.Wait()
 }
 
-// Call hands a call to the Proxy and blocks until its final answer. A call whose context ends is given up, and one
-// that the end of Run leaves open has failed.
+// Call hands a call to the Proxy and blocks until its final answer. A call whose context ends is cancelled and failed,
+// and so is one that is open when Run ends.
 func (p *Proxy) Call(ctx context.Context, call Call) Result {
-	r := &request{call: call, answer: make(chan Result, 1)}
-	if !p.loop.post(ctx, event{kind: callTaken, request: r}) {
+	r := &request{call: call, result: make(chan Result, 1)}
+	if !p.loop.post(ctx, event{kind: callArrived, request: r}) {
 		return Result{}
 	}
 	select {
-	case result := <-r.answer:
+	case result := <-r.result:
 		return result
 	case <-p.loop.done:
 	case <-ctx.Done():
-		p.loop.post(context.WithoutCancel(ctx), event{kind: callWithdrawn, request: r})
+		p.loop.post(context.WithoutCancel(ctx), event{kind: callCancelled, request: r})
 	}
 	select {
-	case result := <-r.answer: // it was there already
+	case result := <-r.result: // it came first
 		return result
 	default:
 		return Result{}
--- a/internal/emulator/hollow/hollow_test.go
+++ b/internal/emulator/hollow/hollow_test.go
@@ -17,8 +17,8 @@
 
 // The classes of testSettings.
 const (
-	safeClass = iota
-	unsafeClass
+	idempotentClass = iota
+	nonIdempotentClass
 )
 
 func testSettings() balancer.Settings {
@@ -29,30 +29,30 @@
 		}}
 }
 
-// testList names servers a, b and so on.
-func testList(servers int) *discovery.List {
+// testList has endpoints a, b and so on.
+func testList(endpoints int) *discovery.List {
 	list := &discovery.List{Index: 1, Snapshot: true}
-	for i := range servers {
+	for i := range endpoints {
 		list.Endpoints = append(list.Endpoints, discovery.Endpoint{Name: string(rune('a' + i)), Address: "127.0.0.1:1",
 			Zone: "z", Status: discovery.Serving})
 	}
 	return list
 }
 
-// upstreamFunc is an Upstream.
-type upstreamFunc func(ctx context.Context, server string, call Call) balancer.Status
+// upstreamFunc is a function that implements Upstream.
+type upstreamFunc func(ctx context.Context, endpoint string, call Call) balancer.Status
 
-func (f upstreamFunc) Attempt(ctx context.Context, server string, call Call) balancer.Status {
-	return f(ctx, server, call)
+func (f upstreamFunc) Attempt(ctx context.Context, endpoint string, call Call) balancer.Status {
+	return f(ctx, endpoint, call)
 }
 
-// hang answers nothing.
+// hang never answers.
 func hang(ctx context.Context, _ string, _ Call) balancer.Status {
 	<-ctx.Done()
 	return balancer.Cancelled
 }
 
-// start runs a proxy until the test ends. To be called in a bubble of synctest.
+// start runs a proxy until stop is called, in a synctest bubble.
 func start(t *testing.T, cfg Config) (p *Proxy, stop func()) {
 	t.Helper()
 	cfg.Name, cfg.Zones = "p", []string{"z"}
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestCallHasOneFinalAnswer(t *testing.T) {
+func TestCallReturnsFinalAnswer(t *testing.T) {
 	answers := func(statuses ...balancer.Status) upstreamFunc {
 		next := 0
 		return func(context.Context, string, Call) balancer.Status {
@@ -77,48 +77,50 @@
 			return statuses[next-1]
 		}
 	}
-	for _, c := range []struct {
-		name     string
-		servers  int
-		upstream Upstream
-		call     Call
-		want     Result
+	for _, test := range []struct {
+		name      string
+		endpoints int
+		upstream  Upstream
+		call      Call
+		want      Result
 	}{
 		{"served", 1, answers(balancer.OK), Call{}, Result{Outcome: Served, Attempts: 1}},
-		{"served by another", 2, answers(balancer.ConnectFailed, balancer.OK), Call{}, Result{Outcome: Served, Attempts: 2}},
-		{"no server", 0, answers(), Call{}, Result{Outcome: Refused}},
-		{"reset of an unsafe one", 2, answers(balancer.Reset), Call{Class: unsafeClass}, Result{Attempts: 1}},
+		{"served by retry", 2, answers(balancer.ConnectFailed, balancer.OK), Call{}, Result{Outcome: Served, Attempts: 2}},
+		{"no endpoint", 0, answers(), Call{}, Result{Outcome: Rejected}},
+		{"reset of non-idempotent call", 2, answers(balancer.Reset), Call{Class: nonIdempotentClass}, Result{Attempts: 1}},
 		{"unknown class", 1, answers(), Call{Class: 9}, Result{}},
-		{"no upstream", 2, nil, Call{Class: unsafeClass}, Result{Outcome: Refused}},
+		{"no upstream", 2, nil, Call{Class: nonIdempotentClass}, Result{Outcome: Rejected}},
 	} {
-		synctest.Test(t, func(t *testing.T) {
-			p, stop := start(t, Config{Settings: testSettings(), Known: testList(c.servers), Upstream: c.upstream, Seed: 1})
-			defer stop()
-			c.call.ID = "c"
-			if got := p.Call(t.Context(), c.call); got != c.want {
-				t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
-			}
-			synctest.Wait()
-			if n := len(p.loop.requests) + p.loop.timers.Len(); n != 0 {
-				t.Errorf("%s: %d entries are left", c.name, n)
-			}
+		t.Run(test.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				p, stop := start(t, Config{Settings: testSettings(), Known: testList(test.endpoints), Upstream: test.upstream, Seed: 1})
+				defer stop()
+				test.call.ID = "c"
+				if got := p.Call(t.Context(), test.call); got != test.want {
+					t.Errorf("got %+v, want %+v", got, test.want)
+				}
+				synctest.Wait()
+				if n := len(p.loop.requests) + p.loop.timers.Len(); n != 0 {
+					t.Errorf("%d requests and timers are left", n)
+				}
+			})
 		})
 	}
 }
 
-func TestSilentServerCostsTheDeadline(t *testing.T) {
+func TestCallToSilentBackendFailsAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, stop := start(t, Config{Settings: testSettings(), Known: testList(1), Upstream: upstreamFunc(hang), Seed: 1})
 		defer stop()
 		began := time.Now()
-		got := p.Call(t.Context(), Call{ID: "c", Class: unsafeClass, Deadline: began.Add(time.Second)})
+		got := p.Call(t.Context(), Call{ID: "c", Class: nonIdempotentClass, Deadline: began.Add(time.Second)})
 		if took := time.Since(began); got != (Result{Attempts: 1}) || took != time.Second {
-			t.Errorf("%+v after %v", got, took)
+			t.Errorf("got %+v after %v", got, took)
 		}
 	})
 }
 
-func TestAttemptKnowsItsTime(t *testing.T) {
+func TestAttemptHasDeadlineOfCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var seen Call
 		upstream := upstreamFunc(func(ctx context.Context, _ string, call Call) balancer.Status {
@@ -130,40 +132,40 @@
 		})
 		p, stop := start(t, Config{Settings: testSettings(), Known: testList(1), Upstream: upstream, Seed: 1})
 		defer stop()
-		given := Call{ID: "c", Class: unsafeClass, Key: "k", Deadline: time.Now().Add(300 * time.Millisecond), Depth: 4}
+		given := Call{ID: "c", Class: nonIdempotentClass, Key: "k", Deadline: time.Now().Add(300 * time.Millisecond), Depth: 4}
 		p.Call(t.Context(), given)
 		if !seen.Deadline.Equal(given.Deadline) {
 			t.Errorf("the attempt ends at %v, the call at %v", seen.Deadline, given.Deadline)
 		}
 		if seen.Deadline = given.Deadline; seen != given {
-			t.Errorf("the backend was given %+v, the proxy %+v", seen, given)
+			t.Errorf("the backend got %+v, the proxy %+v", seen, given)
 		}
 	})
 }
 
-func TestCallGivenUpEndsItsAttempt(t *testing.T) {
+func TestCallCancelledEndsAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, stop := start(t, Config{Settings: testSettings(), Known: testList(2), Upstream: upstreamFunc(hang), Seed: 1})
 		defer stop()
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer cancel()
 		if got := p.Call(ctx, Call{ID: "c"}); got != (Result{}) {
-			t.Errorf("%+v", got)
+			t.Errorf("got %+v", got)
 		}
 		synctest.Wait()
 		if len(p.loop.requests) != 0 {
-			t.Error("its attempt is still out")
+			t.Error("its attempt is still in flight")
 		}
 	})
 }
 
-func TestEndOfRunEndsOpenCalls(t *testing.T) {
+func TestRunEndFailsOpenCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, stop := start(t, Config{Settings: testSettings(), Known: testList(1), Upstream: upstreamFunc(hang), Seed: 1})
 		var calls sync.WaitGroup
 		for i := range 10 {
 			calls.Go(func() {
-				if got := p.Call(t.Context(), Call{ID: fmt.Sprint(i), Class: unsafeClass}); got.Outcome != Failed {
+				if got := p.Call(t.Context(), Call{ID: fmt.Sprint(i), Class: nonIdempotentClass}); got.Outcome != Failed {
 					t.Errorf("%+v", got)
 				}
 			})
@@ -177,12 +179,12 @@
 	})
 }
 
-func TestSecondCallUnderOneIDFails(t *testing.T) {
+func TestCallWithDuplicateIDFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, stop := start(t, Config{Settings: testSettings(), Known: testList(1), Upstream: upstreamFunc(hang), Seed: 1})
 		defer stop()
 		first := make(chan Result, 1)
-		go func() { first <- p.Call(t.Context(), Call{ID: "c", Class: unsafeClass}) }()
+		go func() { first <- p.Call(t.Context(), Call{ID: "c", Class: nonIdempotentClass}) }()
 		synctest.Wait()
 		if got := p.Call(t.Context(), Call{ID: "c"}); got != (Result{}) {
 			t.Errorf("the second: %+v", got)
@@ -193,18 +195,19 @@
 	})
 }
 
-// drawn runs a proxy that draws calls for a while and gives those that were answered, and their results.
-func drawn(t *testing.T, seed uint64, rate float64, span time.Duration) (calls []Call) {
+// generateCalls runs a proxy that generates calls for a while, and returns those that were answered.
+func generateCalls(t *testing.T, seed uint64, rate float64, span time.Duration) (calls []Call) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		settings := testSettings()
 		settings.Tenants = []balancer.Tenant{{Share: 3, RateQuota: 1e6}, {Share: 1, RateQuota: 1e6}}
-		settings.Classes[unsafeClass].Idempotency = balancer.IdempotentWithKey
+		settings.Classes[nonIdempotentClass].Idempotency = balancer.IdempotentWithKey
 		upstream := upstreamFunc(func(context.Context, string, Call) balancer.Status {
 			time.Sleep(time.Millisecond)
 			return balancer.OK
 		})
 		_, stop := start(t, Config{Settings: settings, Known: testList(8), Upstream: upstream, Seed: seed,
-			CallsPerSecond: rate, Answered: func(c Call, r Result) {
+			CallRate: rate, OnResult: func(c Call, r Result) {
 				if calls = append(calls, c); r.Outcome != Served {
 					t.Errorf("call %s ended as %+v", c.ID, r)
 				}
@@ -215,58 +218,61 @@
 	return calls
 }
 
-func TestDrawnCallsFollowTheSeedAndTheRate(t *testing.T) {
+func TestGeneratedCallsFollowSeedAndRate(t *testing.T) {
 	const rate, span = 134, 20 * time.Second
-	calls := drawn(t, 7, rate, span)
-	if !slices.Equal(calls, drawn(t, 7, rate, span)) {
-		t.Error("the same seed drew other calls")
+	calls := generateCalls(t, 7, rate, span)
+	if !slices.Equal(calls, generateCalls(t, 7, rate, span)) {
+		t.Error("the same seed gave other calls")
 	}
-	if slices.Equal(calls, drawn(t, 8, rate, span)) {
-		t.Error("another seed drew the same calls")
+	if slices.Equal(calls, generateCalls(t, 8, rate, span)) {
+		t.Error("another seed gave the same calls")
 	}
 	mean := rate * span.Seconds()
 	if off := math.Abs(float64(len(calls)) - mean); off > 4*math.Sqrt(mean) {
-		t.Errorf("%d calls, about %v are due", len(calls), mean)
+		t.Errorf("%d calls, want about %v", len(calls), mean)
 	}
 	counts, keys := map[[2]int]int{}, map[string]bool{}
 	for _, c := range calls {
 		counts[[2]int{c.Class, c.Tenant}]++
-		if keys[c.Key] = true; (c.Key != "") != (c.Class == unsafeClass) {
+		if keys[c.Key] = true; (c.Key != "") != (c.Class == nonIdempotentClass) {
 			t.Fatalf("call %+v has the wrong key", c)
 		}
 	}
 	for class := range 2 {
-		for tenant, portion := range []float64{0.75, 0.25} {
-			due := mean / 2 * portion
-			if n := counts[[2]int{class, tenant}]; math.Abs(float64(n)-due) > 5*math.Sqrt(due) {
-				t.Errorf("%d calls of class %d, tenant %d; about %v are due", n, class, tenant, due)
+		for tenant, share := range []float64{0.75, 0.25} {
+			expected := mean / 2 * share
+			if n := counts[[2]int{class, tenant}]; math.Abs(float64(n)-expected) > 5*math.Sqrt(expected) {
+				t.Errorf("%d calls of class %d, tenant %d; want about %v", n, class, tenant, expected)
 			}
 		}
 	}
-	if len(keys) < drawnKeys/2 {
+	if len(keys) < generatedKeys/2 {
 		t.Errorf("%d different keys", len(keys))
 	}
 }
 
-func TestBadConfigIsRefused(t *testing.T) {
-	good := Config{Settings: testSettings(), Zones: []string{"z"}}
-	for _, c := range []struct {
+func TestNewInvalidConfigGivesError(t *testing.T) {
+	valid := Config{Settings: testSettings(), Zones: []string{"z"}}
+	for _, test := range []struct {
+		name   string
 		change func(*Config)
-		want   string
+		want   string // in the error
 	}{
-		{func(c *Config) { c.CallsPerSecond = -1 }, "CallsPerSecond"},
-		{func(c *Config) { c.CallsPerSecond = math.NaN() }, "CallsPerSecond"},
-		{func(c *Config) { c.CallsPerSecond = 1 }, "Upstream"},
-		{func(c *Config) { c.Zones = nil }, "Zones"},
-		{func(c *Config) { c.Settings.MaxAttempts = 0 }, "MaxAttempts"},
+		{"negative rate", func(c *Config) { c.CallRate = -1 }, "CallRate"},
+		{"rate not a number", func(c *Config) { c.CallRate = math.NaN() }, "CallRate"},
+		{"rate without upstream", func(c *Config) { c.CallRate = 1 }, "Upstream"},
+		{"no zones", func(c *Config) { c.Zones = nil }, "Zones"},
+		{"no attempts", func(c *Config) { c.Settings.MaxAttempts = 0 }, "MaxAttempts"},
 	} {
-		bad := good
-		c.change(&bad)
-		if _, err := New(bad); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("error %v does not name %s", err, c.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			cfg := valid
+			test.change(&cfg)
+			if _, err := New(cfg); err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("got error %v, want %s in it", err, test.want)
+			}
+		})
 	}
-	if _, err := New(good); err != nil {
+	if _, err := New(valid); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/scale/depth/depth_test.go
+++ b/internal/scale/depth/depth_test.go
@@ -149,7 +149,7 @@
 		"later":    {1500 * time.Millisecond, true, 1500 * time.Millisecond},
 		"too late": {4500 * time.Millisecond, false, 5 * time.Second},
 	} {
-		r := &record{calls: callsEvery(10*time.Millisecond, 0, end+c.failing, hollow.Refused)}
+		r := &record{calls: callsEvery(10*time.Millisecond, 0, end+c.failing, hollow.Rejected)}
 		r.calls = append(r.calls, callsEvery(10*time.Millisecond, end+c.failing, watched, hollow.Served)...)
 		if ok, after := r.recovery(end, watched); ok != c.recovered || after != c.after {
 			t.Errorf("%s: recovered %v after %v", name, ok, after)
@@ -161,7 +161,7 @@
 	s := size{settle: time.Second, trouble: 2 * time.Second, recovery: time.Second}
 	r := &record{
 		calls: append(callsEvery(100*time.Millisecond, 0, 2*time.Second, hollow.Served),
-			append(callsEvery(100*time.Millisecond, 2*time.Second, 2500*time.Millisecond, hollow.Refused),
+			append(callsEvery(100*time.Millisecond, 2*time.Second, 2500*time.Millisecond, hollow.Rejected),
 				callsEvery(100*time.Millisecond, 2500*time.Millisecond, 4*time.Second, hollow.Failed)...)...),
 		samples: []sample{
 			{0, 0, []int64{0, 0}, []int64{0, 0, 0}},
--- a/internal/scale/depth/judge.go
+++ b/internal/scale/depth/judge.go
@@ -50,7 +50,7 @@
 	for _, u := range calls {
 		if u.inTime {
 			inTime++
-		} else if u.outcome == hollow.Refused {
+		} else if u.outcome == hollow.Rejected {
 			refused++
 		}
 	}
--- a/internal/scale/propagation/watcher.go
+++ b/internal/scale/propagation/watcher.go
@@ -67,7 +67,7 @@
 func (w *watcher) run(ctx context.Context, ask bool, applied func(*discovery.List, time.Time)) error {
 	w.seed++
 	proxy, err := hollow.New(hollow.Config{Name: w.location.Name, Settings: w.settings(ask), Zones: zoneNames(),
-		Seed: w.seed, Discovery: discovery.Options{Address: w.address, Dial: w.dial}, Known: w.known(), Applied: applied})
+		Seed: w.seed, Discovery: discovery.Options{Address: w.address, Dial: w.dial}, Known: w.known(), OnListApplied: applied})
 	if err != nil {
 		return err
 	}
--- a/internal/scale/ramp/service.go
+++ b/internal/scale/ramp/service.go
@@ -95,8 +95,8 @@
 				SlowStartCapacity: startCapacity, SlowStartOverload: c.tipMultiple, SlowStartDuration: microtime.FromDuration(coldSpan)},
 			Discovery: discovery.Options{Address: "discovery:80",
 				Dial: svc.registry.Dialer(list, registry.Location{Name: name, Zone: zones[zone], Region: region})},
-			CallsPerSecond: c.load * warmRate * float64(s.backends) / float64(c.callers),
-			Answered:       svc.answers.add})
+			CallRate: c.load * warmRate * float64(s.backends) / float64(c.callers),
+			OnResult: svc.answers.add})
 		if err != nil {
 			return err
 		}
