--- a/balancer/api.go
+++ b/balancer/api.go
@@ -46,9 +46,9 @@
 
 // Tenant describes one origin of requests.
 type Tenant struct {
-	Name      string  // by which Reconfigure knows it again; its place if empty
-	Share     float64 // its part of the service
-	RateQuota float64 // requests a second inside its share, over all proxies
+	Name          string  // by which Reconfigure knows it again; its place if empty
+	QuotaFraction float64 // its part of the service
+	RateQuota     float64 // requests a second inside its share, over all proxies
 }
 
 // Settings are handed over at the start; Reconfigure replaces them.
@@ -81,7 +81,7 @@
 	SlowStartOverload float64      // a cold server that gets more than so many times its capacity for a while falls over
 	SlowStartDuration Microseconds // a server is warm after this at the latest
 
-	WeighByWork bool // worth is counted for each unit of work, not for each request
+	PriorityPerWorkUnit bool // worth is counted for each unit of work, not for each request
 }
 
 // EndpointState is what the list says of a server.
@@ -218,7 +218,7 @@
 		}
 	}
 	for i, t := range s.Tenants {
-		if !(t.Share >= 0) || !(t.RateQuota >= 0) {
+		if !(t.QuotaFraction >= 0) || !(t.RateQuota >= 0) {
 			return fmt.Errorf("balancer: Settings.Tenants[%d]: negative Share or RateQuota", i)
 		}
 	}
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -134,7 +134,7 @@
 		if len(h.lines) != before {
 			t.Errorf("an ended request brought %q", h.lines[before:])
 		}
-		if len(b.reqs) != 0 {
+		if len(b.requests) != 0 {
 			t.Error("an ended request is kept")
 		}
 	}
@@ -294,7 +294,7 @@
 	if part > s.SlowStartCapacity || part == 0 {
 		t.Errorf("a cold server got %.3f of a warm one's calls, capacity is %.3f", part, s.SlowStartCapacity)
 	}
-	if w := b.warmth(start+s.SlowStartDuration, b.byID["s1"]); w != 1 {
+	if w := b.slowStartFactor(start+s.SlowStartDuration, b.byID["s1"]); w != 1 {
 		t.Errorf("a server past its warming time has warmth %v", w)
 	}
 }
@@ -315,16 +315,16 @@
 }
 
 func TestCanPassThreadGrade(t *testing.T) {
-	r := threadRule{count: 2.25}
+	r := concurrencyLimit{max: 2.25}
 	for _, c := range []struct {
 		u    float64
 		want bool
 	}{{0, true}, {0, true}, {0.7, false}, {0.8, true}, {0.99, false}} {
-		if r.canPass(c.u) != c.want {
-			t.Fatalf("canPass is %v at %d in flight of 2.25 with %v", !c.want, r.threads, c.u)
+		if r.admits(c.u) != c.want {
+			t.Fatalf("canPass is %v at %d in flight of 2.25 with %v", !c.want, r.inFlight, c.u)
 		}
 		if c.want {
-			r.enter()
+			r.acquire()
 		}
 	}
 }
@@ -350,12 +350,12 @@
 
 func TestCanPassQPSGradeWithFractions(t *testing.T) {
 	for _, count := range []float64{0.5, 3, 40} {
-		var r originRule
+		var r tenantQuota
 		passed := 0
 		const secs = 40
 		for now := start; now < start+secs*second; now += second / 100 {
-			if r.canPass(now, start, count, 0, 0.5) {
-				r.pass.add(now)
+			if r.admits(now, start, count, 0, 0.5) {
+				r.admitted.add(now)
 				passed++
 			}
 		}
@@ -367,11 +367,11 @@
 
 // A fresh copy with a stretched window once let a long window's worth through at once and choked the front.
 func TestFreshCopyDoesNotPassALongWindowAtOnce(t *testing.T) {
-	var r originRule
+	var r tenantQuota
 	passed := 0
 	for now := start; now < start+second; now += second / 100 {
-		if r.canPass(now, start, 3, 0, 0.5) {
-			r.pass.add(now)
+		if r.admits(now, start, 3, 0, 0.5) {
+			r.admitted.add(now)
 			passed++
 		}
 	}
@@ -381,61 +381,61 @@
 }
 
 func TestCountIsLearnedByRounds(t *testing.T) {
-	r := threadRule{count: startCount, least: minCount, ev: round{allowed: badPart, span: second}}
+	r := concurrencyLimit{max: initialLimit, floor: minLimit, evidence: evidenceRound{allowedBad: maxBadFraction, minDuration: second}}
 	now := start
 	feed := func(n int, bad bool) {
 		for range n {
 			now++
-			r.learn(&r.ev, now, now, bad, paceOf(false, !bad))
+			r.adjust(&r.evidence, now, now, bad, speedOf(false, !bad))
 		}
 	}
 	for range 20 {
-		r.enter()
+		r.acquire()
 	}
-	feed(roundSize, false)
-	if want := spareTimes*20 + spareCalls; r.count != want {
-		t.Errorf("after a good round: %v, want %v", r.count, want)
+	feed(minRoundSamples, false)
+	if want := limitHeadroomFactor*20 + limitHeadroom; r.max != want {
+		t.Errorf("after a good round: %v, want %v", r.max, want)
 	}
-	sure := int(math.Floor(badPart*roundSize)) + 1 // bad finishes after which no good ones could save the round
+	sure := int(math.Floor(maxBadFraction*minRoundSamples)) + 1 // bad finishes after which no good ones could save the round
 	feed(sure-1, true)
-	if want := spareTimes*20 + spareCalls; r.count != want {
-		t.Errorf("before its verdict is sure a round changed the count to %v", r.count)
+	if want := limitHeadroomFactor*20 + limitHeadroom; r.max != want {
+		t.Errorf("before its verdict is sure a round changed the count to %v", r.max)
 	}
 	feed(1, true)
-	cut := 20 * (1 - cutDepth*float64(sure)/(roundSize/2))
-	if r.count != cut {
-		t.Errorf("after a bad round: %v, want %v", r.count, cut)
+	cut := 20 * (1 - decreaseFactor*float64(sure)/(minRoundSamples/2))
+	if r.max != cut {
+		t.Errorf("after a bad round: %v, want %v", r.max, cut)
 	}
 	sentBefore := now - 1
-	for range 3 * roundSize { // evidence from before the cut must not cut again
-		r.learn(&r.ev, now, sentBefore, true, slowPace)
+	for range 3 * minRoundSamples { // evidence from before the cut must not cut again
+		r.adjust(&r.evidence, now, sentBefore, true, slowResponse)
 	}
-	if r.count != cut {
-		t.Errorf("old evidence changed the count to %v", r.count)
+	if r.max != cut {
+		t.Errorf("old evidence changed the count to %v", r.max)
 	}
-	r.threads, r.peak = 0, 0
+	r.inFlight, r.peak = 0, 0
 	for range 50 {
-		feed(roundSize, true)
+		feed(minRoundSamples, true)
 	}
-	if r.count != minCount {
-		t.Errorf("the count fell to %v, below its floor %v", r.count, minCount)
+	if r.max != minLimit {
+		t.Errorf("the count fell to %v, below its floor %v", r.max, minLimit)
 	}
 }
 
 // A copy that has cut down to a call in seconds took a minute to fill a round, long after its servers were well.
 func TestSparseRoundsEndByTimeAndOnlyWhenGood(t *testing.T) {
-	ev := round{allowed: badPart, span: 5 * second}
-	if v, _ := ev.add(start, start, true, slowPace); v != undecided {
+	ev := evidenceRound{allowedBad: maxBadFraction, minDuration: 5 * second}
+	if v, _ := ev.add(start, start, true, slowResponse); v != signalPending {
 		t.Errorf("one bad finish is taken for a round: %v", v)
 	}
-	if v, _ := ev.add(start+second, start, false, fastPace); v != undecided {
+	if v, _ := ev.add(start+second, start, false, fastResponse); v != signalPending {
 		t.Errorf("a half bad pair is taken for a round: %v", v)
 	}
-	ev = round{allowed: badPart, span: 5 * second, start: start}
-	if v, _ := ev.add(start+second, start, false, fastPace); v != undecided {
+	ev = evidenceRound{allowedBad: maxBadFraction, minDuration: 5 * second, start: start}
+	if v, _ := ev.add(start+second, start, false, fastResponse); v != signalPending {
 		t.Errorf("quick finishes judge before slow ones can show: %v", v)
 	}
-	if v, _ := ev.add(start+5*second, start+second, false, fastPace); v != healthy {
+	if v, _ := ev.add(start+5*second, start+second, false, fastResponse); v != signalHealthy {
 		t.Errorf("after its span a good round is not judged: %v", v)
 	}
 }
@@ -446,10 +446,10 @@
 	passed := 0
 	rnd := rand.New(rand.NewPCG(5, 5))
 	for range 200 {
-		var r originRule
+		var r tenantQuota
 		for now := start; now < start+8*second; now += second {
-			if r.canPass(now, start-100*second, 0.01, 0, rnd.Float64()) {
-				r.pass.add(now)
+			if r.admits(now, start-100*second, 0.01, 0, rnd.Float64()) {
+				r.admitted.add(now)
 				passed++
 			}
 		}
@@ -463,12 +463,12 @@
 // chance let all of it through.
 func TestRoomForChanceGivesWayWhenCallsAreSlow(t *testing.T) {
 	s := testSettings()
-	s.Replicas, s.Tenants = 100, []Tenant{{Share: 0.5, RateQuota: 30}, {Share: 0.5, RateQuota: 30}}
+	s.Replicas, s.Tenants = 100, []Tenant{{QuotaFraction: 0.5, RateQuota: 30}, {QuotaFraction: 0.5, RateQuota: 30}}
 	sent := func(share float64) int {
 		b, h := with(t, s, 4)
 		for i := range 100 {
 			now, id := start+Microseconds(i)*4*second, fmt.Sprint(i)
-			b.share, b.tenants[0].came, b.came = share, tally{}, tally{}
+			b.quotaMultiplier, b.tenants[0].arrivals, b.arrivals = share, tally{}, tally{}
 			b.HandleRequest(now, h, Request{ID: id, Deadline: now + second})
 			b.HandleOutcome(now, h, Outcome{ID: id, Status: OK, Latency: 1000, RequestDone: true})
 		}
@@ -488,7 +488,7 @@
 	s := testSettings()
 	s.Replicas = 100
 	for range 4 {
-		s.Tenants = append(s.Tenants, Tenant{Share: 0.25, RateQuota: 30})
+		s.Tenants = append(s.Tenants, Tenant{QuotaFraction: 0.25, RateQuota: 30})
 	}
 	for _, c := range []struct {
 		perSecond, most, least float64 // of tenant 0; the others send 0.25 a second each; parts of it refused
@@ -522,7 +522,7 @@
 
 func TestTenantOverItsShareIsShed(t *testing.T) {
 	s := testSettings()
-	s.Tenants = []Tenant{{Share: 0.5, RateQuota: 20}, {Share: 0.5, RateQuota: 20}}
+	s.Tenants = []Tenant{{QuotaFraction: 0.5, RateQuota: 20}, {QuotaFraction: 0.5, RateQuota: 20}}
 	b, h := with(t, s, 4)
 	sent := map[int]int{}
 	n := 0
@@ -552,21 +552,21 @@
 	fast, slow := b.byID["s0"], b.byID["s1"]
 	c := b.classes[0]
 	for range 200 {
-		b.reward(c, fast, 100_000)
-		b.reward(c, slow, 300_000)
+		b.recordLatency(c, fast, 100_000)
+		b.recordLatency(c, slow, 300_000)
 	}
-	if b.weigh(start, fast, b.classes[0]) < 2*b.weigh(start, slow, b.classes[0]) {
-		t.Errorf("weights %v and %v", b.weigh(start, fast, b.classes[0]), b.weigh(start, slow, b.classes[0]))
+	if b.weight(start, fast, b.classes[0]) < 2*b.weight(start, slow, b.classes[0]) {
+		t.Errorf("weights %v and %v", b.weight(start, fast, b.classes[0]), b.weight(start, slow, b.classes[0]))
 	}
-	before := b.weigh(start, fast, b.classes[0])
-	b.judge(fast, b.classes[0], Error)
-	if b.weigh(start, fast, b.classes[0]) > before/2 {
+	before := b.weight(start, fast, b.classes[0])
+	b.recordStatus(fast, b.classes[0], Error)
+	if b.weight(start, fast, b.classes[0]) > before/2 {
 		t.Error("a failure that its peer does not show left the weight")
 	}
 	for range 100 {
-		b.judge(fast, b.classes[0], Error)
+		b.recordStatus(fast, b.classes[0], Error)
 	}
-	if b.weigh(start, fast, b.classes[0]) <= 0 {
+	if b.weight(start, fast, b.classes[0]) <= 0 {
 		t.Error("no floor keeps trials going")
 	}
 }
@@ -576,22 +576,22 @@
 	b, _ := with(t, testSettings(), 4)
 	ill, well := b.byID["s0"], b.byID["s1"]
 	for range 5 {
-		b.judge(ill, b.classes[0], Error)
-		b.judge(well, b.classes[0], OK)
+		b.recordStatus(ill, b.classes[0], Error)
+		b.recordStatus(well, b.classes[0], OK)
 	}
-	if w := b.weigh(start, ill, b.classes[0]); w > b.weigh(start, well, b.classes[0])/5 {
+	if w := b.weight(start, ill, b.classes[0]); w > b.weight(start, well, b.classes[0])/5 {
 		t.Errorf("a server that fails the class keeps weight %v", w)
 	}
-	if b.weigh(start, ill, b.classes[2]) != b.weigh(start, well, b.classes[2]) {
+	if b.weight(start, ill, b.classes[2]) != b.weight(start, well, b.classes[2]) {
 		t.Error("errors of one class cost a server the others")
 	}
 	for range 5 {
-		b.judge(ill, b.classes[0], TimedOut)
+		b.recordStatus(ill, b.classes[0], TimedOut)
 		for range 3 {
-			b.judge(well, b.classes[0], OK)
+			b.recordStatus(well, b.classes[0], OK)
 		}
 	}
-	if w := b.weigh(start, ill, b.classes[2]); w > b.weigh(start, well, b.classes[2])/5 {
+	if w := b.weight(start, ill, b.classes[2]); w > b.weight(start, well, b.classes[2])/5 {
 		t.Errorf("a silent server keeps weight %v for the other classes", w)
 	}
 }
@@ -614,7 +614,7 @@
 		}
 		if i >= 20 {
 			id := fmt.Sprint(i - 20)
-			if q := b.reqs[id]; q != nil {
+			if q := b.requests[id]; q != nil {
 				b.HandleOutcome(now+2000, h, Outcome{ID: id, Attempt: len(q.attempts) - 1, Latency: 400_000, RequestDone: true})
 			}
 		}
@@ -632,7 +632,7 @@
 		id := fmt.Sprint(i)
 		now += 20_000
 		ask(b, h, now, id, 0)
-		if b.reqs[id] == nil {
+		if b.requests[id] == nil {
 			continue
 		}
 		status := OK
@@ -641,7 +641,7 @@
 				status = Rejected
 			}
 		}
-		for n := 0; b.reqs[id] != nil && n < 4; n++ {
+		for n := 0; b.requests[id] != nil && n < 4; n++ {
 			b.HandleOutcome(now+10_000, h, Outcome{ID: id, Attempt: n, Status: status, Latency: 10_000, RequestDone: status == OK})
 			status = OK
 		}
@@ -656,11 +656,11 @@
 	b, _ := with(t, testSettings(), 4)
 	for range 100 {
 		for _, s := range b.all {
-			b.judge(s, b.classes[0], Error)
+			b.recordStatus(s, b.classes[0], Error)
 		}
 	}
 	for _, s := range b.all {
-		if b.judge(s, b.classes[0], Error) {
+		if b.recordStatus(s, b.classes[0], Error) {
 			t.Errorf("%s is blamed for what its peers show", s.ID)
 		}
 	}
@@ -707,8 +707,8 @@
 		t.Errorf("a held request's time ends with %q", h.last())
 	}
 	b.HandleOutcome(start+102_000, h, Outcome{ID: "c", Status: OK, Latency: 1000, RequestDone: true})
-	if len(b.turns) != 1 || len(b.reqs) != 2 { // "other" and its key
-		t.Errorf("%d keys and %d requests are kept", len(b.turns), len(b.reqs))
+	if len(b.keyQueues) != 1 || len(b.requests) != 2 { // "other" and its key
+		t.Errorf("%d keys and %d requests are kept", len(b.keyQueues), len(b.requests))
 	}
 }
 
@@ -720,8 +720,8 @@
 		ask(b, h, now, id, 0)
 		b.HandleOutcome(now, h, Outcome{ID: id, Status: OK, Latency: 1000, RequestDone: true})
 	}
-	if most := int(ownSpan/second) + 1; len(b.taken) > most {
-		t.Errorf("%d times of requests are kept, %d are needed", len(b.taken), most)
+	if most := int(defaultRetryBudgetWindow/second) + 1; len(b.requestTimes) > most {
+		t.Errorf("%d times of requests are kept, %d are needed", len(b.requestTimes), most)
 	}
 }
 
@@ -757,7 +757,7 @@
 
 func TestFurtherAttemptsAreBudgeted(t *testing.T) {
 	b, h := with(t, testSettings(), 4)
-	b.tier.least, b.tier.count = 1e9, 1e9
+	b.tierLimit.floor, b.tierLimit.max = 1e9, 1e9
 	const n = 400
 	for i := range n {
 		id := fmt.Sprint(i)
@@ -776,7 +776,7 @@
 			seen[s.id] = true
 		}
 	}
-	if extra := len(h.sends) - firsts; extra == 0 || float64(extra) > ownFree+ownShare*float64(n) {
+	if extra := len(h.sends) - firsts; extra == 0 || float64(extra) > defaultRetryBudgetMin+defaultRetryBudgetRatio*float64(n) {
 		t.Errorf("%d further attempts on %d first ones", extra, firsts)
 	}
 }
@@ -862,26 +862,26 @@
 		if len(h.delays) != 1 || h.delays[0] > 2*second {
 			t.Fatalf("rests %v", h.delays)
 		}
-		b.TimerFired(start, h, watchToken)
+		b.TimerFired(start, h, subscribeToken)
 	}
 }
 
 func TestHomeFirstAndSpillUnderPressure(t *testing.T) {
 	b, _ := with(t, testSettings(), 8)
-	home := b.weigh(start, b.byID["s0"], b.classes[0])
+	home := b.weight(start, b.byID["s0"], b.classes[0])
 	now := start
 	feed := func(n int, bad bool) {
 		for range n {
 			now++
-			b.press(now, b.classes[0], &attempt{kind: &b.s.Classes[0], sent: now, zone: b.s.Zone}, bad, bad, paceOf(false, !bad))
+			b.recordPressure(now, b.classes[0], &attempt{class: &b.settings.Classes[0], sentAt: now, zone: b.settings.Zone}, bad, bad, speedOf(false, !bad))
 		}
 	}
-	feed(60*roundSize, false)
-	if away := b.weigh(start, b.byID["s2"], b.classes[0]); away > home/10 {
+	feed(60*minRoundSamples, false)
+	if away := b.weight(start, b.byID["s2"], b.classes[0]); away > home/10 {
 		t.Errorf("a calm home leaves %.3f of the weight to other zones", away/home)
 	}
-	feed(20*roundSize, true)
-	if away := b.weigh(start, b.byID["s2"], b.classes[0]); away < home/2 {
+	feed(20*minRoundSamples, true)
+	if away := b.weight(start, b.byID["s2"], b.classes[0]); away < home/2 {
 		t.Errorf("a home in trouble leaves %.3f of the weight to other zones", away/home)
 	}
 }
@@ -928,25 +928,25 @@
 	s := testSettings()
 	s.Classes[1].PriorityWeight = 40
 	b, _ := with(t, s, 4)
-	cheap, dear := &b.classes[0].rule, &b.classes[1].rule
+	cheap, dear := &b.classes[0].limit, &b.classes[1].limit
 	for range 10 {
-		cheap.enter()
-		dear.enter()
+		cheap.acquire()
+		dear.acquire()
 	}
 	now, long := start, s.Classes[1].LatencyObjective*3/4
-	for range 4 * roundSize {
+	for range 4 * minRoundSamples {
 		now += 2 * long
-		b.press(now, b.classes[1], &attempt{kind: &b.s.Classes[1], sent: now - long}, true, true, slowPace)
+		b.recordPressure(now, b.classes[1], &attempt{class: &b.settings.Classes[1], sentAt: now - long}, true, true, slowResponse)
 	}
-	if cheap.count > 10 || dear.count != startCount {
-		t.Errorf("after slow calls of the worthier class: cheap %v, dear %v", cheap.count, dear.count)
+	if cheap.max > 10 || dear.max != initialLimit {
+		t.Errorf("after slow calls of the worthier class: cheap %v, dear %v", cheap.max, dear.max)
 	}
-	for range 4 * roundSize {
+	for range 4 * minRoundSamples {
 		now += 2 * long
-		b.press(now, b.classes[0], &attempt{kind: &b.s.Classes[0], sent: now - long}, true, true, slowPace)
+		b.recordPressure(now, b.classes[0], &attempt{class: &b.settings.Classes[0], sentAt: now - long}, true, true, slowResponse)
 	}
-	if dear.count != startCount {
-		t.Errorf("slow cheap calls cut the worthier class to %v", dear.count)
+	if dear.max != initialLimit {
+		t.Errorf("slow cheap calls cut the worthier class to %v", dear.max)
 	}
 }
 
@@ -960,7 +960,7 @@
 	for step := range Microseconds(2000) { // of 10 ms
 		now := start + step*10_000
 		for _, id := range ends[step] {
-			took := now - b.reqs[id].came
+			took := now - b.requests[id].arrivedAt
 			b.HandleOutcome(now, h, Outcome{ID: id, Latency: took, RequestDone: true})
 		}
 		if step%3 == 0 {
@@ -969,7 +969,7 @@
 				steps = 28 // 0.28 s: the aim is 0.5 s
 			}
 			ask(b, h, now, id, class)
-			if b.reqs[id] != nil {
+			if b.requests[id] != nil {
 				ends[step+steps] = append(ends[step+steps], id)
 			}
 		}
@@ -984,7 +984,7 @@
 	b, _ := with(t, testSettings(), 8)
 	for range 5 {
 		for _, s := range b.all {
-			if !b.judge(s, b.classes[0], ConnectFailed) {
+			if !b.recordStatus(s, b.classes[0], ConnectFailed) {
 				t.Fatalf("%s is not blamed for a refused connection", s.ID)
 			}
 		}
@@ -997,7 +997,7 @@
 	if len(h.lines) != 0 {
 		t.Fatalf("a calm copy reports %q", h.lines)
 	}
-	b.share = 0.5
+	b.quotaMultiplier = 0.5
 	for i := range Microseconds(25) {
 		b.report(start+i*second, h)
 	}
@@ -1010,7 +1010,7 @@
 // day of half a minute most refusals at the front were these. The first bad round takes all of the room back.
 func TestAFreshCopyDoesNotHoldTenantsToTheirSharesUntilCallsAreSlow(t *testing.T) {
 	s := testSettings()
-	s.Tenants = []Tenant{{Share: 1, RateQuota: 20}}
+	s.Tenants = []Tenant{{QuotaFraction: 1, RateQuota: 20}}
 	b, h := with(t, s, 8)
 	for i := range 32 { // a second's traffic at 1.6 times the share
 		now, id := start+Microseconds(i)*second/32, fmt.Sprint(i)
@@ -1020,15 +1020,15 @@
 	if n := len(h.sends); n != 32 {
 		t.Errorf("%d of 32 pass at a fresh copy", n)
 	}
-	for i := 0; b.share > 1; i++ {
-		if i == 10*roundSize {
-			t.Fatalf("share still %v", b.share)
+	for i := 0; b.quotaMultiplier > 1; i++ {
+		if i == 10*minRoundSamples {
+			t.Fatalf("share still %v", b.quotaMultiplier)
 		}
 		now := start + 2*second + Microseconds(i)
-		b.press(now, b.classes[0], &attempt{kind: &b.s.Classes[0], sent: now}, true, true, slowPace)
+		b.recordPressure(now, b.classes[0], &attempt{class: &b.settings.Classes[0], sentAt: now}, true, true, slowResponse)
 	}
-	if b.share < shareLow || b.share >= 1 {
-		t.Errorf("a bad round leaves a share of %v", b.share)
+	if b.quotaMultiplier < minQuotaMultiplier || b.quotaMultiplier >= 1 {
+		t.Errorf("a bad round leaves a share of %v", b.quotaMultiplier)
 	}
 }
 
@@ -1050,15 +1050,15 @@
 // One bad round held a tenant to its share for the rest of a short day, though calls were timely again.
 func TestTheRoomThatABadRoundTookComesBackWithinADozenRounds(t *testing.T) {
 	s := testSettings()
-	s.Tenants = []Tenant{{Share: 1, RateQuota: 20}}
+	s.Tenants = []Tenant{{QuotaFraction: 1, RateQuota: 20}}
 	b, _ := with(t, s, 8)
-	b.share = sharePress
-	for i := range 12 * roundSize {
+	b.quotaMultiplier = overloadQuotaMultiplierFront
+	for i := range 12 * minRoundSamples {
 		now := start + Microseconds(i)
-		b.press(now, b.classes[0], &attempt{kind: &b.s.Classes[0], sent: now}, false, false, fastPace)
+		b.recordPressure(now, b.classes[0], &attempt{class: &b.settings.Classes[0], sentAt: now}, false, false, fastResponse)
 	}
-	if b.share != shareStart {
-		t.Errorf("share %v after a dozen good rounds", b.share)
+	if b.quotaMultiplier != initialQuotaMultiplier {
+		t.Errorf("share %v after a dozen good rounds", b.quotaMultiplier)
 	}
 }
 
@@ -1069,7 +1069,7 @@
 	for i := range s.Classes {
 		s.Classes[i].OrderedByKey = true
 	}
-	s.Tenants = []Tenant{{Share: 1, RateQuota: 1000}}
+	s.Tenants = []Tenant{{QuotaFraction: 1, RateQuota: 1000}}
 	b, h := with(t, s, 4)
 	now := start
 	for i := range 30_000 {
@@ -1094,11 +1094,11 @@
 	}
 	waiting := 0
 	for _, c := range b.classes {
-		waiting += len(c.waiting)
+		waiting += len(c.unmarked)
 	}
-	if len(b.reqs) > 0 || len(b.turns) > 0 || len(b.byID) > 20 || len(b.all) > 20 || len(b.taken) > 6000 ||
-		len(b.further) > 6000 || waiting > 2000 {
-		t.Errorf("left: %d requests, %d turns, %d and %d servers, %d taken, %d further, %d waiting", len(b.reqs),
-			len(b.turns), len(b.byID), len(b.all), len(b.taken), len(b.further), waiting)
+	if len(b.requests) > 0 || len(b.keyQueues) > 0 || len(b.byID) > 20 || len(b.all) > 20 || len(b.requestTimes) > 6000 ||
+		len(b.retryTimes) > 6000 || waiting > 2000 {
+		t.Errorf("left: %d requests, %d turns, %d and %d servers, %d taken, %d further, %d waiting", len(b.requests),
+			len(b.keyQueues), len(b.byID), len(b.all), len(b.requestTimes), len(b.retryTimes), waiting)
 	}
 }
--- a/balancer/detach_test.go
+++ b/balancer/detach_test.go
@@ -65,19 +65,19 @@
 	b, _ := with(t, testSettings(), 4)
 	s := b.byID["s1"]
 	b.Detach("s1")
-	s.whole.left = healthFloor // what was learned of the process before
+	s.overall.factor = minHealth // what was learned of the process before
 	b.Attach(start, "s1")
-	if w := b.warmth(start, s); w != coldMargin*b.s.SlowStartCapacity {
+	if w := b.slowStartFactor(start, s); w != slowStartMargin*b.settings.SlowStartCapacity {
 		t.Errorf("its warmth is %v", w)
 	}
-	if s.whole.left != 1 {
-		t.Errorf("its health is %v", s.whole.left)
+	if s.overall.factor != 1 {
+		t.Errorf("its health is %v", s.overall.factor)
 	}
-	if w := b.warmth(start+b.s.SlowStartDuration, s); w != 1 {
+	if w := b.slowStartFactor(start+b.settings.SlowStartDuration, s); w != 1 {
 		t.Errorf("later its warmth is %v", w)
 	}
-	b.Attach(start+b.s.SlowStartDuration, "s1") // harmless: it was in use all along
-	if w := b.warmth(start+b.s.SlowStartDuration, s); w != 1 {
+	b.Attach(start+b.settings.SlowStartDuration, "s1") // harmless: it was in use all along
+	if w := b.slowStartFactor(start+b.settings.SlowStartDuration, s); w != 1 {
 		t.Errorf("after a repeated call its warmth is %v", w)
 	}
 }
@@ -128,7 +128,7 @@
 		}
 	}
 	last = b.byID[last.ID]
-	if last.owed || b.weigh(start, last, b.classes[0]) >= coldMargin {
-		t.Errorf("after its first call: owed %v, weighs %v", last.owed, b.weigh(start, last, b.classes[0]))
+	if last.reintroductionPending || b.weight(start, last, b.classes[0]) >= slowStartMargin {
+		t.Errorf("after its first call: owed %v, weighs %v", last.reintroductionPending, b.weight(start, last, b.classes[0]))
 	}
 }
--- a/balancer/learned_test.go
+++ b/balancer/learned_test.go
@@ -10,18 +10,18 @@
 // learned to hold back.
 func TestACopyThatTakesOverBeginsWhereTheOtherStood(t *testing.T) {
 	old, _ := with(t, testSettings(), 3)
-	old.tier.count, old.share, old.spill, old.errs = 7.5, 0.6, 0.4, 0.2
-	old.classes[1].rule.count, old.classes[1].mean, old.classes[1].base = 3, 400_000, 300_000
-	old.byID["s1"].whole.left, old.byID["s2"].slowness, old.byID["s0"].classes[2].left = 0.1, 2, 0.5
+	old.tierLimit.max, old.quotaMultiplier, old.crossZoneWeight, old.errorRate = 7.5, 0.6, 0.4, 0.2
+	old.classes[1].limit.max, old.classes[1].meanLatency, old.classes[1].unloadedLatency = 3, 400_000, 300_000
+	old.byID["s1"].overall.factor, old.byID["s2"].relativeLatency, old.byID["s0"].perClass[2].factor = 0.1, 2, 0.5
 	l := old.ExportState()
 	b, h := with(t, testSettings(), 2)
 	b.ImportState(l)
 	got := b.ExportState()
-	delete(l.Servers, "s2") // not listed here
+	delete(l.Endpoints, "s2") // not listed here
 	if !reflect.DeepEqual(got, l) {
 		t.Errorf("got %+v, want %+v", got, l)
 	}
-	b.tier.count = 1
+	b.tierLimit.max = 1
 	ask(b, h, start, "a", 0)
 	if ask(b, h, start, "b", 0); h.last() != "refuse b" {
 		t.Errorf("over the count: %q", h.last())
@@ -33,10 +33,10 @@
 	b, _ := with(t, testSettings(), 2)
 	fresh := b.ExportState()
 	nan := math.NaN()
-	for _, l := range []LearnedState{{}, {Tier: -1, Share: 1e9, Spill: nan, Errs: 2},
-		{Tier: math.Inf(1), Classes: make([]LearnedClass, len(b.classes)), Servers: map[string]LearnedEndpoint{
-			"s0": {Launched: 5, Slowness: 3, Left: 0.1, Classes: make([]float64, len(b.classes))},
-			"s1": {Slowness: -1, Left: nan, Classes: make([]float64, len(b.classes))}}}} {
+	for _, l := range []LearnedState{{}, {TierLimit: -1, QuotaMultiplier: 1e9, CrossZoneWeight: nan, ErrorRate: 2},
+		{TierLimit: math.Inf(1), Classes: make([]LearnedClass, len(b.classes)), Endpoints: map[string]LearnedEndpoint{
+			"s0": {StartedAt: 5, RelativeLatency: 3, Health: 0.1, ClassHealth: make([]float64, len(b.classes))},
+			"s1": {RelativeLatency: -1, Health: nan, ClassHealth: make([]float64, len(b.classes))}}}} {
 		b.ImportState(l)
 		got := b.ExportState()
 		// Counts of failures are the only figures for which 0 makes sense.
@@ -50,27 +50,27 @@
 func TestWhatIsHandedOverStaysWithItsName(t *testing.T) {
 	s := named(testSettings())
 	old, _ := with(t, s, 2)
-	old.classes[0].rule.count, old.classes[1].rule.count, old.classes[2].rule.count = 20, 30, 40
-	old.byID["s0"].health(old.classes[1]).left = 0.5
+	old.classes[0].limit.max, old.classes[1].limit.max, old.classes[2].limit.max = 20, 30, 40
+	old.byID["s0"].classHealth(old.classes[1]).factor = 0.5
 	l := old.ExportState()
 	moved := s
 	moved.Classes = []Class{s.Classes[2], s.Classes[1], {Name: "fresh", LatencyObjective: 1, Deadline: 1}}
 	b, _ := with(t, moved, 2)
 	b.ImportState(l)
-	if one, two, fresh := b.classes[0].rule.count, b.classes[1].rule.count, b.classes[2].rule.count; one != 40 || two != 30 || fresh != startCount {
+	if one, two, fresh := b.classes[0].limit.max, b.classes[1].limit.max, b.classes[2].limit.max; one != 40 || two != 30 || fresh != initialLimit {
 		t.Errorf("counts %v, %v, %v", one, two, fresh)
 	}
-	if health := b.byID["s0"]; health.health(b.classes[1]).left != 0.5 || health.health(b.classes[0]).left != 1 {
-		t.Errorf("health %+v", health.classes)
+	if health := b.byID["s0"]; health.classHealth(b.classes[1]).factor != 0.5 || health.classHealth(b.classes[0]).factor != 1 {
+		t.Errorf("health %+v", health.perClass)
 	}
 }
 
 // An earlier version noted no names: its classes stand at their places.
 func TestNotesWithoutNamesAreTakenByPlace(t *testing.T) {
 	old, _ := with(t, testSettings(), 2)
-	old.classes[1].rule.count = 30
+	old.classes[1].limit.max = 30
 	b, _ := with(t, named(testSettings()), 2)
-	if b.ImportState(old.ExportState()); b.classes[1].rule.count != 30 || b.classes[0].rule.count != startCount {
-		t.Errorf("counts %v, %v", b.classes[0].rule.count, b.classes[1].rule.count)
+	if b.ImportState(old.ExportState()); b.classes[1].limit.max != 30 || b.classes[0].limit.max != initialLimit {
+		t.Errorf("counts %v, %v", b.classes[0].limit.max, b.classes[1].limit.max)
 	}
 }
--- a/balancer/load_test.go
+++ b/balancer/load_test.go
@@ -64,7 +64,7 @@
 		servers: map[string]*modelServer{}, calls: map[string]*modelCall{}}
 	s := testSettings()
 	s.Classes, s.Zones, s.Replicas, s.MaxRetryAfter = s.Classes[:1], 1, modelCopies, second
-	s.Tenants = []Tenant{{Share: 1, RateQuota: modelCapacity}}
+	s.Tenants = []Tenant{{QuotaFraction: 1, RateQuota: modelCapacity}}
 	var list []Endpoint
 	for i := range modelServers {
 		id := fmt.Sprintf("s%d", i)
--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -397,7 +397,7 @@
 // reconfigure the module before each step.
 func play(t *testing.T, seed uint64, steps int, change func(*driver)) ([]string, []string) {
 	s := testSettings()
-	s.Tenants = []Tenant{{Share: 0.6, RateQuota: 30}, {Share: 0.4, RateQuota: 20}}
+	s.Tenants = []Tenant{{QuotaFraction: 0.6, RateQuota: 30}, {QuotaFraction: 0.4, RateQuota: 20}}
 	s.Tier = int(seed % 2)
 	s.SubscribeRequired, s.MaxPollInterval = seed%3 == 0, 10*second
 	s.MaxRetryAfter = Microseconds(seed%2) * second
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -18,14 +18,14 @@
 		return err
 	}
 	// Counts and shares that one tier has taught mean nothing in another.
-	if s.Tier != b.s.Tier {
+	if s.Tier != b.settings.Tier {
 		return errors.New("balancer: Settings.Tier: a change needs a restart")
 	}
 	// What was asked of the subscription before would never be answered, or what is told now was never asked for.
-	if s.SubscribeRequired != b.s.SubscribeRequired {
+	if s.SubscribeRequired != b.settings.SubscribeRequired {
 		return errors.New("balancer: Settings.SubscribeRequired: a change needs a restart")
 	}
-	ordinal := b.s.ReplicaIndex
+	ordinal := b.settings.ReplicaIndex
 	b.configure(s)
 	if s.ReplicaIndex != ordinal {
 		b.relist()
@@ -37,10 +37,10 @@
 func (b *Balancer) configure(s Settings) {
 	s.Classes, s.Tenants = slices.Clone(s.Classes), slices.Clone(s.Tenants)
 	if s.RetryBudgetWindow == 0 {
-		s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = ownSpan, ownFree, ownShare
+		s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = defaultRetryBudgetWindow, defaultRetryBudgetMin, defaultRetryBudgetRatio
 	}
-	old := b.s
-	b.s = &s
+	old := b.settings
+	b.settings = &s
 	b.replaceClasses(old.Classes)
 	b.replaceTenants(old.Tenants)
 	b.bound()
@@ -48,18 +48,18 @@
 
 // replaceClasses gathers the states of the settings' classes: what is known of those that stay, and fresh ones.
 func (b *Balancer) replaceClasses(old []Class) {
-	before, after := classNames(old), classNames(b.s.Classes)
+	before, after := classNames(old), classNames(b.settings.Classes)
 	var states []*classState
 	for i, from := range matchNames(before, after) {
-		first := firstMean * float64(b.s.Classes[i].LatencyObjective)
+		first := firstMean * float64(b.settings.Classes[i].LatencyObjective)
 		if from < 0 {
-			rule := threadRule{count: startCount}
-			states = append(states, &classState{slot: noSlot, rule: rule, mean: first, base: first})
+			rule := concurrencyLimit{max: initialLimit}
+			states = append(states, &classState{slot: noSlot, limit: rule, meanLatency: first, unloadedLatency: first})
 			continue
 		}
 		c := b.classes[from]
-		if c.seen == 0 && old[from].LatencyObjective != b.s.Classes[i].LatencyObjective { // its times were a guess
-			c.mean, c.base = first, first
+		if c.successes == 0 && old[from].LatencyObjective != b.settings.Classes[i].LatencyObjective { // its times were a guess
+			c.meanLatency, c.unloadedLatency = first, first
 		}
 		states = append(states, c)
 	}
@@ -84,24 +84,24 @@
 	}
 	c.slot, b.slots = slot, max(b.slots, slot+1)
 	for _, s := range b.all {
-		*s.health(c) = health{left: 1}
+		*s.classHealth(c) = endpointHealth{factor: 1}
 	}
 }
 
 // replaceTenants does the same for tenants.
 func (b *Balancer) replaceTenants(old []Tenant) {
-	before, after := tenantNames(old), tenantNames(b.s.Tenants)
-	var origins []*originRule
-	b.fair = 0
+	before, after := tenantNames(old), tenantNames(b.settings.Tenants)
+	var origins []*tenantQuota
+	b.fairRate = 0
 	for i, from := range matchNames(before, after) {
-		t := &originRule{}
+		t := &tenantQuota{}
 		if from >= 0 {
 			t = b.tenants[from]
 		}
-		t.portion = b.s.Tenants[i].Share
+		t.fraction = b.settings.Tenants[i].QuotaFraction
 		origins = append(origins, t)
 		// A copy that carries more than its part learns a higher multiple.
-		b.fair += b.s.Tenants[i].RateQuota / float64(b.s.Replicas)
+		b.fairRate += b.settings.Tenants[i].RateQuota / float64(b.settings.Replicas)
 	}
 	b.tenants = origins
 }
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -151,7 +151,7 @@
 func (c *changer) changeFigures(s *Settings) {
 	switch c.rnd.IntN(6) {
 	case 0:
-		s.Tenants = append(s.Tenants[1:], Tenant{Name: fmt.Sprint("t", c.rnd.IntN(5)), Share: 0.5, RateQuota: 30})
+		s.Tenants = append(s.Tenants[1:], Tenant{Name: fmt.Sprint("t", c.rnd.IntN(5)), QuotaFraction: 0.5, RateQuota: 30})
 	case 1:
 		s.Replicas, s.ReplicaIndex, s.Zone = 1+c.rnd.IntN(5), c.rnd.IntN(5), c.rnd.IntN(2)
 	case 2:
@@ -161,7 +161,7 @@
 	case 4:
 		s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = drawTime(c.rnd, 20)*second, float64(c.rnd.IntN(6)), 0.05
 	case 5:
-		s.SlowStartCapacity, s.WeighByWork = 0.1+0.2*c.rnd.Float64(), !s.WeighByWork
+		s.SlowStartCapacity, s.PriorityPerWorkUnit = 0.1+0.2*c.rnd.Float64(), !s.PriorityPerWorkUnit
 	}
 }
 
@@ -245,71 +245,71 @@
 		t.Fatalf("got %q", h.lines)
 	}
 	mustReconfigure(t, b, s)
-	if c := b.classes[0]; c.rule.threads != 0 || c.seen != 0 || c.errs != 0 {
+	if c := b.classes[0]; c.limit.inFlight != 0 || c.successes != 0 || c.errorRate != 0 {
 		t.Errorf("a class that came back has %+v", c)
 	}
 	b.HandleOutcome(start+2000, h, Outcome{ID: "r", Attempt: 1, Status: Error, Latency: 1000})
 	b.HandleOutcome(start+3000, h, Outcome{ID: "r", Attempt: 2, Status: OK, Latency: 1000, RequestDone: true})
 	for _, server := range b.all {
-		if left := server.health(b.classes[0]).left; left != 1 {
+		if left := server.classHealth(b.classes[0]).factor; left != 1 {
 			t.Errorf("the old request's failures left %v of %s to the class that came back", left, server.ID)
 		}
 	}
-	if c := b.classes[0]; c.rule.threads != 0 || c.seen != 0 || b.tier.threads != 0 || len(b.reqs) != 0 {
-		t.Errorf("after the old request's end: %+v, %d in the tier, %d kept", c, b.tier.threads, len(b.reqs))
+	if c := b.classes[0]; c.limit.inFlight != 0 || c.successes != 0 || b.tierLimit.inFlight != 0 || len(b.requests) != 0 {
+		t.Errorf("after the old request's end: %+v, %d in the tier, %d kept", c, b.tierLimit.inFlight, len(b.requests))
 	}
 }
 
 // Counts, times and the health of servers follow their classes and tenants, wherever these now stand.
 func TestWhatWasLearnedStaysWithItsName(t *testing.T) {
 	s := testSettings()
-	s.Tenants = []Tenant{{Share: 0.6, RateQuota: 30}, {Share: 0.4, RateQuota: 20}}
+	s.Tenants = []Tenant{{QuotaFraction: 0.6, RateQuota: 30}, {QuotaFraction: 0.4, RateQuota: 20}}
 	s = named(s)
 	b, _ := with(t, s, 3)
-	b.tier.count, b.share, b.spill, b.errs = 7.5, 0.6, 0.4, 0.2
-	b.classes[1].rule.count, b.classes[1].mean, b.classes[1].base, b.classes[1].seen = 30, 400_000, 300_000, 9
-	b.byID["s1"].whole.left, b.byID["s2"].slowness = 0.1, 2
-	b.byID["s0"].health(b.classes[2]).left, b.byID["s0"].health(b.classes[0]).left = 0.5, 0.3
-	b.tenants[1].came.add(start)
+	b.tierLimit.max, b.quotaMultiplier, b.crossZoneWeight, b.errorRate = 7.5, 0.6, 0.4, 0.2
+	b.classes[1].limit.max, b.classes[1].meanLatency, b.classes[1].unloadedLatency, b.classes[1].successes = 30, 400_000, 300_000, 9
+	b.byID["s1"].overall.factor, b.byID["s2"].relativeLatency = 0.1, 2
+	b.byID["s0"].classHealth(b.classes[2]).factor, b.byID["s0"].classHealth(b.classes[0]).factor = 0.5, 0.3
+	b.tenants[1].arrivals.add(start)
 	before := b.ExportState()
 
 	moved := s
 	fresh := Class{Name: "fresh", LatencyObjective: 800_000, Deadline: 1_500_000, PriorityWeight: 1}
 	moved.Classes = []Class{s.Classes[2], s.Classes[1], fresh} // 0, 3 and 4 go
-	moved.Tenants = []Tenant{s.Tenants[1], {Name: "fresh", Share: 0.6, RateQuota: 10}}
+	moved.Tenants = []Tenant{s.Tenants[1], {Name: "fresh", QuotaFraction: 0.6, RateQuota: 10}}
 	moved.Replicas = 2
 	mustReconfigure(t, b, moved)
 	after := b.ExportState()
-	if after.Tier != 7.5 || after.Share != 0.6 || after.Spill != 0.4 || after.Errs != 0.2 {
+	if after.TierLimit != 7.5 || after.QuotaMultiplier != 0.6 || after.CrossZoneWeight != 0.4 || after.ErrorRate != 0.2 {
 		t.Errorf("of the tier: %+v", after)
 	}
-	want := []LearnedClass{before.Classes[2], before.Classes[1], {Name: "fresh", Count: startCount, Mean: 200_000, Base: 200_000}}
+	want := []LearnedClass{before.Classes[2], before.Classes[1], {Name: "fresh", Limit: initialLimit, MeanLatency: 200_000, UnloadedLatency: 200_000}}
 	if !reflect.DeepEqual(after.Classes, want) {
 		t.Errorf("of the classes: got %+v, want %+v", after.Classes, want)
 	}
-	if got := after.Servers["s0"].Classes; !slices.Equal(got, []float64{0.5, 1, 1}) {
+	if got := after.Endpoints["s0"].ClassHealth; !slices.Equal(got, []float64{0.5, 1, 1}) {
 		t.Errorf("of s0: got %v", got)
 	}
-	if after.Servers["s1"].Left != 0.1 || after.Servers["s2"].Slowness != 2 {
-		t.Errorf("of the servers: %+v", after.Servers)
+	if after.Endpoints["s1"].Health != 0.1 || after.Endpoints["s2"].RelativeLatency != 2 {
+		t.Errorf("of the servers: %+v", after.Endpoints)
 	}
-	if b.tenants[0].came.n != 1 || b.tenants[1].came.n != 0 || b.tenants[0].portion != 0.4 || b.fair != 15 {
-		t.Errorf("of the tenants: %+v and %+v, %v together", b.tenants[0], b.tenants[1], b.fair)
+	if b.tenants[0].arrivals.n != 1 || b.tenants[1].arrivals.n != 0 || b.tenants[0].fraction != 0.4 || b.fairRate != 15 {
+		t.Errorf("of the tenants: %+v and %+v, %v together", b.tenants[0], b.tenants[1], b.fairRate)
 	}
-	if b.tier.ev.span != roundSpan*800_000 {
-		t.Errorf("a round lasts %d us", b.tier.ev.span)
+	if b.tierLimit.evidence.minDuration != roundObjectives*800_000 {
+		t.Errorf("a round lasts %d us", b.tierLimit.evidence.minDuration)
 	}
 }
 
 // Without names, as in settings made by hand, classes are known again by their places.
 func TestClassesWithoutNamesAreKnownByTheirPlaces(t *testing.T) {
 	b, _ := with(t, testSettings(), 1)
-	b.classes[1].rule.count, b.classes[4].rule.count = 30, 50
+	b.classes[1].limit.max, b.classes[4].limit.max = 30, 50
 	s := testSettings()
 	s.Classes = append(s.Classes[:4:4], s.Classes...)
 	mustReconfigure(t, b, s)
-	if b.classes[1].rule.count != 30 || b.classes[4].rule.count != 50 || b.classes[5].rule.count != startCount {
-		t.Errorf("counts %v, %v, %v", b.classes[1].rule.count, b.classes[4].rule.count, b.classes[5].rule.count)
+	if b.classes[1].limit.max != 30 || b.classes[4].limit.max != 50 || b.classes[5].limit.max != initialLimit {
+		t.Errorf("counts %v, %v, %v", b.classes[1].limit.max, b.classes[4].limit.max, b.classes[5].limit.max)
 	}
 }
 
@@ -368,7 +368,7 @@
 	if len(h.sends) != 3 {
 		t.Fatalf("before the rest of 100 ms is over: %q", h.lines)
 	}
-	if b.TimerFired(start+101_000, h, turnToken+"k"); h.sends[len(h.sends)-1].id != "b" {
+	if b.TimerFired(start+101_000, h, resumeKeyToken+"k"); h.sends[len(h.sends)-1].id != "b" {
 		t.Errorf("after it: %q", h.lines)
 	}
 }
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -82,57 +82,57 @@
 
 // node holds the statistics that rules read: calls in flight and calls passed.
 type node struct {
-	threads int
-	peak    int
-	pass    window
+	inFlight int
+	peak     int
+	admitted window
 }
 
 // classState is a class's rule and what is known of its times.
 type classState struct {
-	slot    int // its place in server.classes; noSlot once the settings have it no more
-	rule    threadRule
-	yield   round      // evidence of classes that are worth clearly more
-	mean    float64    // of successes
-	base    float64    // the mean when little waits
-	seen    float64    // successes
-	errs    float64    // running part of failed calls over all servers
-	waiting []*attempt // at the front: in order of sending, those not yet slow
+	slot            int // its place in server.classes; noSlot once the settings have it no more
+	limit           concurrencyLimit
+	yieldEvidence   evidenceRound // evidence of classes that are worth clearly more
+	meanLatency     float64       // of successes
+	unloadedLatency float64       // the mean when little waits
+	successes       float64       // successes
+	errorRate       float64       // running part of failed calls over all servers
+	unmarked        []*attempt    // at the front: in order of sending, those not yet slow
 }
 
-type server struct {
+type endpoint struct {
 	Endpoint
-	slowness float64 // running time of its calls against the mean of all
-	whole    health
-	classes  []health // for the calls of each class, by classState.slot
-	inflight int
-	hash     uint64
-	back     Microseconds // when operators put it back to work; 0: never
-	owed     bool         // since then it has got nothing
+	relativeLatency       float64 // running time of its calls against the mean of all
+	overall               endpointHealth
+	perClass              []endpointHealth // for the calls of each class, by classState.slot
+	inFlight              int
+	ringPosition          uint64
+	attachedAt            Microseconds // when operators put it back to work; 0: never
+	reintroductionPending bool         // since then it has got nothing
 }
 
-// health is what is left of a server's weight, and its running part of failed calls.
-type health struct{ left, errs float64 }
+// endpointHealth is what is left of a server's weight, and its running part of failed calls.
+type endpointHealth struct{ factor, errorRate float64 }
 
-// forget drops what was learned of a server.
-func (s *server) forget(slots int) {
-	s.slowness, s.whole, s.classes = 1, health{left: 1}, nil
+// reset drops what was learned of a server.
+func (s *endpoint) reset(slots int) {
+	s.relativeLatency, s.overall, s.perClass = 1, endpointHealth{factor: 1}, nil
 	s.reserve(slots)
 }
 
 // reserve makes room for as many classes.
-func (s *server) reserve(slots int) {
-	for len(s.classes) < slots {
-		s.classes = append(s.classes, health{left: 1})
+func (s *endpoint) reserve(slots int) {
+	for len(s.perClass) < slots {
+		s.perClass = append(s.perClass, endpointHealth{factor: 1})
 	}
 }
 
-// health is that for the calls of a class. Of one that is no longer in the settings nothing is kept.
-func (s *server) health(c *classState) *health {
+// classHealth is that for the calls of a class. Of one that is no longer in the settings nothing is kept.
+func (s *endpoint) classHealth(c *classState) *endpointHealth {
 	if c.slot == noSlot {
-		return &health{left: 1}
+		return &endpointHealth{factor: 1}
 	}
 	s.reserve(c.slot + 1) // one that has left the list was passed over when the class came
-	return &s.classes[c.slot]
+	return &s.perClass[c.slot]
 }
 
 // partOf is one observation of a running part: 1 if it is so, else 0.
@@ -143,59 +143,61 @@
 	return 0
 }
 
-func (s *server) healthFor(c *classState) float64 { return s.whole.left * s.health(c).left }
+func (s *endpoint) healthFor(c *classState) float64 {
+	return s.overall.factor * s.classHealth(c).factor
+}
 
 type attempt struct {
-	srv    *server
-	set    *Settings    // in force when it was decided on
-	kind   *Class       // its request's
-	begun  Microseconds // when it was decided on
-	sent   Microseconds // the same, or when the last byte of a streamed request had gone out
-	zone   int          // as listed at the time of sending
-	cell   int
-	slow   bool // counted as slow before its end
-	mayRun bool // outstanding, or ended without proof that it never ran
-	out    bool
-	owed   bool // the first call to a server that was put back
-	counts bool // in the counts of calls in flight
+	endpoint       *endpoint
+	settings       *Settings    // in force when it was decided on
+	class          *Class       // its request's
+	decidedAt      Microseconds // when it was decided on
+	sentAt         Microseconds // the same, or when the last byte of a streamed request had gone out
+	zone           int          // as listed at the time of sending
+	cell           int
+	countedSlow    bool // counted as slow before its end
+	mayRun         bool // outstanding, or ended without proof that it never ran
+	outstanding    bool
+	reintroduction bool // the first call to a server that was put back
+	inFlight       bool // in the counts of calls in flight
 }
 
 // hasRun tells whether nothing proves that it never ran.
 func (a *attempt) hasRun() bool { return a.mayRun }
 
-// turn is the line of one key's requests in the order of their arrival.
-type turn struct {
-	key  string
-	line []*request   // the first is the one whose turn it is
-	rest Microseconds // until then the key rests
+// keyQueue is the line of one key's requests in the order of their arrival.
+type keyQueue struct {
+	key           string
+	waiting       []*request   // the first is the one whose turn it is
+	cooldownUntil Microseconds // until then the key rests
 }
 
 type request struct {
 	Request
-	kind     *Class      // as it was when the request came
-	class    *classState // what is known of its class
-	origin   *originRule // its tenant's; nil without one: the tenant rule is skipped
-	came     Microseconds
-	turn     *turn // nil if it need not wait its turn
-	attempts []*attempt
-	over     bool
-	out      int // attempts without outcome
+	class       *Class       // as it was when the request came
+	state       *classState  // what is known of its class
+	quota       *tenantQuota // its tenant's; nil without one: the tenant rule is skipped
+	arrivedAt   Microseconds
+	queue       *keyQueue // nil if it need not wait its turn
+	attempts    []*attempt
+	done        bool
+	outstanding int // attempts without outcome
 }
 
 // join puts a request last in its key's line.
-func (b *Balancer) join(q *request) {
-	q.turn = b.turns[q.Key]
-	if q.turn == nil {
-		q.turn = &turn{key: q.Key}
-		b.turns[q.Key] = q.turn
+func (b *Balancer) join(req *request) {
+	req.queue = b.keyQueues[req.Key]
+	if req.queue == nil {
+		req.queue = &keyQueue{key: req.Key}
+		b.keyQueues[req.Key] = req.queue
 	}
-	q.turn.line = append(q.turn.line, q)
+	req.queue.waiting = append(req.queue.waiting, req)
 }
 
 // tidy forgets a key that nobody waits for and that rests no more.
-func (b *Balancer) tidy(now Microseconds, t *turn) {
-	if len(t.line) == 0 && now >= t.rest {
-		delete(b.turns, t.key)
+func (b *Balancer) tidy(now Microseconds, t *keyQueue) {
+	if len(t.waiting) == 0 && now >= t.cooldownUntil {
+		delete(b.keyQueues, t.key)
 	}
 }
 
@@ -203,21 +205,21 @@
 func (b *Balancer) enter(e Endpoint) {
 	s := b.byID[e.ID]
 	if s == nil {
-		s = &server{hash: hash(e.ID), back: b.awaited[e.ID], owed: b.awaited[e.ID] > 0}
-		delete(b.awaited, e.ID)
+		s = &endpoint{ringPosition: hash(e.ID), attachedAt: b.attachedUnlisted[e.ID], reintroductionPending: b.attachedUnlisted[e.ID] > 0}
+		delete(b.attachedUnlisted, e.ID)
 		b.byID[e.ID] = s
 		b.all = append(b.all, s)
 	}
 	if s.ID == "" || s.StartedAt != e.StartedAt {
-		s.forget(b.slots)
+		s.reset(b.slots)
 	}
 	s.Endpoint = e
 }
 
 // tried tells whether an attempt of the request went to the server.
-func (q *request) tried(s *server) bool {
-	for _, a := range q.attempts {
-		if a.srv == s {
+func (req *request) tried(s *endpoint) bool {
+	for _, a := range req.attempts {
+		if a.endpoint == s {
 			return true
 		}
 	}
@@ -231,114 +233,114 @@
 	return h.Sum64()
 }
 
-// verdict is what a round of evidence shows.
-type verdict int
+// loadSignal is what a round of evidence shows.
+type loadSignal int
 
 // The verdicts.
 const (
-	undecided  verdict = iota // too little evidence yet
-	healthy                   // most calls end well and in time
-	faulty                    // many are late or fail, beside answers that are as fast as under little load
-	overloaded                // many are late or fail, and hardly any answer is fast: a queue delays them all
+	signalPending    loadSignal = iota // too little evidence yet
+	signalHealthy                      // most calls end well and in time
+	signalFaulty                       // many are late or fail, beside answers that are as fast as under little load
+	signalOverloaded                   // many are late or fail, and hardly any answer is fast: a queue delays them all
 )
 
-// pace is how fast a call was answered.
-type pace int
+// responseSpeed is how fast a call was answered.
+type responseSpeed int
 
 // The paces.
 const (
-	unanswered pace = iota // the call failed
-	slowPace               // slower than the usual call under little load
-	fastPace
+	noResponse   responseSpeed = iota // the call failed
+	slowResponse                      // slower than the usual call under little load
+	fastResponse
 )
 
-func paceOf(failed, fast bool) pace {
+func speedOf(failed, fast bool) responseSpeed {
 	switch {
 	case failed:
-		return unanswered
+		return noResponse
 	case fast:
-		return fastPace
+		return fastResponse
 	}
-	return slowPace
+	return slowResponse
 }
 
-// round gathers finishes of calls sent since the last change, and judges them once they are enough, so
+// evidenceRound gathers finishes of calls sent since the last change, and judges them once they are enough, so
 // that sparse copies learn by evidence and one trouble is answered by one cut.
-type round struct {
-	start    Microseconds // when it began: calls sent earlier are left out
-	n, bad   int
-	answered int // finishes with an answer, and calls that are still out
-	fast     int // answers that took no longer than the usual one under little load
-	allowed  float64
-	span     Microseconds // after this long a few finishes make a round
+type evidenceRound struct {
+	start       Microseconds // when it began: calls sent earlier are left out
+	n, bad      int
+	answered    int // finishes with an answer, and calls that are still out
+	fast        int // answers that took no longer than the usual one under little load
+	allowedBad  float64
+	minDuration Microseconds // after this long a few finishes make a round
 }
 
-// threadRule limits calls in flight.
-type threadRule struct {
+// concurrencyLimit limits calls in flight.
+type concurrencyLimit struct {
 	node
-	count float64
-	least float64
-	ev    round
+	max      float64
+	floor    float64
+	evidence evidenceRound
 }
 
-// originRule limits the calls passed per second for one tenant.
-type originRule struct {
+// tenantQuota limits the calls passed per second for one tenant.
+type tenantQuota struct {
 	node
-	portion float64
-	came    tally // its requests
+	fraction float64
+	arrivals tally // its requests
 }
 
 // Balancer decides for one proxy.
 type Balancer struct {
-	s         *Settings // those in force; never changed, but replaced by Reconfigure
-	rnd       *rand.Rand
-	byID      map[string]*server
-	all       []*server               // in order of first listing
-	ready     []*server               // those that new calls may go to, this copy's subset first
-	detached  map[string]bool         // those that operators have taken out, listed or not
-	awaited   map[string]Microseconds // those put back that were not listed then, and when
-	reqs      map[string]*request
-	turns     map[string]*turn
-	tier      threadRule
-	tenants   []*originRule // in the order of the settings
-	classes   []*classState // in the order of the settings
-	slots     int           // classState.slot is less
-	fair      float64       // rate of all tenants inside their shares at one copy
-	share     float64       // multiple of its share that a tenant may pass
-	shareMost float64
-	shareBad  float64 // what a bad round leaves of share at most
-	shareEv   round
-	spill     float64 // weight of servers in other zones
-	spillEv   round
-	errs      float64      // running part of failed calls over all servers
-	taken     timeline     // requests
-	came      tally        // requests, over a longer time
-	further   timeline     // attempts beyond each request's first
-	born      Microseconds // when the first request came
-	backoff   Microseconds // before the next try at a subscription
-	asked     bool         // a subscription was asked for
-	weights   []float64
-	reported  Microseconds // when the last log line was written
-}
-
-// enter counts a call in.
-func (n *node) enter() {
-	n.threads++
-	n.peak = max(n.peak, n.threads)
+	settings                *Settings // those in force; never changed, but replaced by Reconfigure
+	random                  *rand.Rand
+	byID                    map[string]*endpoint
+	all                     []*endpoint             // in order of first listing
+	ready                   []*endpoint             // those that new calls may go to, this copy's subset first
+	detached                map[string]bool         // those that operators have taken out, listed or not
+	attachedUnlisted        map[string]Microseconds // those put back that were not listed then, and when
+	requests                map[string]*request
+	keyQueues               map[string]*keyQueue
+	tierLimit               concurrencyLimit
+	tenants                 []*tenantQuota // in the order of the settings
+	classes                 []*classState  // in the order of the settings
+	slots                   int            // classState.slot is less
+	fairRate                float64        // rate of all tenants inside their shares at one copy
+	quotaMultiplier         float64        // multiple of its share that a tenant may pass
+	maxQuotaMultiplier      float64
+	overloadQuotaMultiplier float64 // what a bad round leaves of share at most
+	quotaEvidence           evidenceRound
+	crossZoneWeight         float64 // weight of servers in other zones
+	crossZoneEvidence       evidenceRound
+	errorRate               float64      // running part of failed calls over all servers
+	requestTimes            timeline     // requests
+	arrivals                tally        // requests, over a longer time
+	retryTimes              timeline     // attempts beyond each request's first
+	firstRequestAt          Microseconds // when the first request came
+	backoff                 Microseconds // before the next try at a subscription
+	subscribeRequested      bool         // a subscription was asked for
+	weights                 []float64
+	lastReport              Microseconds // when the last log line was written
+}
+
+// acquire counts a call in.
+func (n *node) acquire() {
+	n.inFlight++
+	n.peak = max(n.peak, n.inFlight)
 }
 
 // enterCall counts an attempt as a call in flight: its server has all of it and may begin.
-func (b *Balancer) enterCall(q *request, a *attempt) {
-	if b.s.Tier == 0 {
-		q.class.waiting = append(q.class.waiting, a)
+func (b *Balancer) enterCall(req *request, a *attempt) {
+	if b.settings.Tier == 0 {
+		req.state.unmarked = append(req.state.unmarked, a)
 	}
-	b.tier.enter()
-	q.class.rule.enter()
-	a.counts = true
+	b.tierLimit.acquire()
+	req.state.limit.acquire()
+	a.inFlight = true
 }
 
 // pick returns the ready server at which the sum of weights passes x, or nil if none has weight.
-func (b *Balancer) pick(x float64) (last *server) {
+func (b *Balancer) pick(x float64) (last *endpoint) {
 	for i, w := range b.weights {
 		if w > 0 {
 			last = b.ready[i]
@@ -355,24 +357,24 @@
 
 // finish marks a request as over and forgets it once all its attempts have ended; only then is it the
 // turn of the next one with its key.
-func (b *Balancer) finish(now Microseconds, h Host, q *request) {
-	q.over = true
-	if q.out > 0 {
+func (b *Balancer) finish(now Microseconds, h Host, req *request) {
+	req.done = true
+	if req.outstanding > 0 {
 		return
 	}
-	delete(b.reqs, q.ID)
-	if t := q.turn; t != nil {
-		t.line = slices.DeleteFunc(t.line, func(x *request) bool { return x == q })
+	delete(b.requests, req.ID)
+	if t := req.queue; t != nil {
+		t.waiting = slices.DeleteFunc(t.waiting, func(x *request) bool { return x == req })
 		b.next(now, h, t)
 	}
 }
 
 // report tells on-call staff when traffic inside the shares is held back, and which way calls lean.
 func (b *Balancer) report(now Microseconds, h Host) {
-	if b.share >= 1 || now-b.reported < reportEvery && b.reported != 0 {
+	if b.quotaMultiplier >= 1 || now-b.lastReport < reportEvery && b.lastReport != 0 {
 		return
 	}
-	b.reported = now
+	b.lastReport = now
 	h.Log(fmt.Sprintf("tier %d: calls are slow or fail; tenants held to %.2f of their shares, %d calls out, "+
-		"%.0f%% of calls fail, other zones weigh %.2f", b.s.Tier, b.share, b.tier.threads, 100*b.errs, b.spill))
+		"%.0f%% of calls fail, other zones weigh %.2f", b.settings.Tier, b.quotaMultiplier, b.tierLimit.inFlight, 100*b.errorRate, b.crossZoneWeight))
 }
--- a/balancer/streamed_test.go
+++ b/balancer/streamed_test.go
@@ -7,28 +7,28 @@
 func TestAnUploadIsNoCallInFlightUntilItsEnd(t *testing.T) {
 	b, h := with(t, testSettings(), 2)
 	b.HandleRequest(start, h, Request{ID: "r", Class: 0, Deadline: start + 1_000_000, Streaming: true})
-	if len(h.sends) != 1 || b.tier.threads != 0 || b.classes[0].rule.threads != 0 {
-		t.Fatalf("%d sends, %d calls in flight", len(h.sends), b.tier.threads)
+	if len(h.sends) != 1 || b.tierLimit.inFlight != 0 || b.classes[0].limit.inFlight != 0 {
+		t.Fatalf("%d sends, %d calls in flight", len(h.sends), b.tierLimit.inFlight)
 	}
 	late := start + 10_000_000
 	ask(b, h, late, "other", 0) // looks for slow calls
-	if b.shareEv.bad != 0 {
+	if b.quotaEvidence.bad != 0 {
 		t.Error("the upload counts as slow")
 	}
 	b.RequestUploaded(late, "r", late+1_000_000)
 	b.RequestUploaded(late, "r", late+1_000_000)
 	b.RequestUploaded(late, "nobody", late)
-	if b.tier.threads != 2 || b.classes[0].rule.threads != 2 {
-		t.Errorf("%d calls in flight", b.tier.threads)
+	if b.tierLimit.inFlight != 2 || b.classes[0].limit.inFlight != 2 {
+		t.Errorf("%d calls in flight", b.tierLimit.inFlight)
 	}
 	b.HandleOutcome(late+1000, h, Outcome{ID: "r", Status: OK, Latency: 1000, RequestDone: true})
-	if b.tier.threads != 1 || b.tier.ev.bad != 0 || b.reqs["r"] != nil {
-		t.Errorf("%d calls in flight, %d late", b.tier.threads, b.tier.ev.bad)
+	if b.tierLimit.inFlight != 1 || b.tierLimit.evidence.bad != 0 || b.requests["r"] != nil {
+		t.Errorf("%d calls in flight, %d late", b.tierLimit.inFlight, b.tierLimit.evidence.bad)
 	}
 	b.HandleRequest(late, h, Request{ID: "s", Class: 0, Deadline: late + 1_000_000, Streaming: true})
 	b.HandleOutcome(late+1000, h, Outcome{ID: "s", Status: NotAttempted, RequestDone: true})
-	if b.tier.threads != 1 {
-		t.Errorf("an upload that broke off: %d calls in flight", b.tier.threads)
+	if b.tierLimit.inFlight != 1 {
+		t.Errorf("an upload that broke off: %d calls in flight", b.tierLimit.inFlight)
 	}
 }
 
--- a/internal/emulator/hollow/draw.go
+++ b/internal/emulator/hollow/draw.go
@@ -30,7 +30,7 @@
 	d := &drawer{name: cfg.Name, settings: cfg.Settings, rate: cfg.CallsPerSecond,
 		random: rand.New(rand.NewPCG(cfg.Seed, drawStream))}
 	for _, t := range cfg.Settings.Tenants {
-		d.portions += t.Share
+		d.portions += t.QuotaFraction
 	}
 	return d
 }
@@ -54,7 +54,7 @@
 func (d *drawer) tenant() int {
 	x := d.random.Float64() * d.portions
 	for i, t := range d.settings.Tenants {
-		if x -= t.Share; x < 0 {
+		if x -= t.QuotaFraction; x < 0 {
 			return i
 		}
 	}
--- a/internal/emulator/hollow/hollow_test.go
+++ b/internal/emulator/hollow/hollow_test.go
@@ -197,7 +197,7 @@
 func drawn(t *testing.T, seed uint64, rate float64, span time.Duration) (calls []Call) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := testSettings()
-		settings.Tenants = []balancer.Tenant{{Share: 3, RateQuota: 1e6}, {Share: 1, RateQuota: 1e6}}
+		settings.Tenants = []balancer.Tenant{{QuotaFraction: 3, RateQuota: 1e6}, {QuotaFraction: 1, RateQuota: 1e6}}
 		settings.Classes[unsafeClass].Idempotency = balancer.IdempotentWithKey
 		upstream := upstreamFunc(func(context.Context, string, Call) balancer.Status {
 			time.Sleep(time.Millisecond)
--- a/internal/proxy/console_test.go
+++ b/internal/proxy/console_test.go
@@ -591,18 +591,21 @@
 		return wait(t, "word of the loop", got)
 	}
 	l := learned(old)
-	l.Share, l.Tier = 0.5, 9
+	l.QuotaMultiplier, l.TierLimit = 0.5, 9
 	old.loop.post(func() { old.loop.bal.ImportState(l) })
-	waitUntil(t, func() bool { got, ok, err := old.shared.learned(); return ok && err == nil && got.Share == 0.5 })
+	waitUntil(t, func() bool {
+		got, ok, err := old.shared.learned()
+		return ok && err == nil && got.QuotaMultiplier == 0.5
+	})
 	next := startWithConsole(t, dir, old.Addr(), d.addr, entry)
-	if got := learned(next); got.Share != 0.5 || got.Tier != 9 {
+	if got := learned(next); got.QuotaMultiplier != 0.5 || got.TierLimit != 9 {
 		t.Errorf("got %+v", got)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "fernlanding-n0.json.learned"), []byte(`{"at":"now`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	third := startWithConsole(t, dir, old.Addr(), d.addr, entry)
-	if got := learned(third); got.Share == 0.5 {
+	if got := learned(third); got.QuotaMultiplier == 0.5 {
 		t.Error("damage is learned from")
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -165,7 +165,7 @@
 		RetryBudgetWindow:  o.Contract.RatioSpan, RetryBudgetMin: o.Contract.Spare, RetryBudgetRatio: o.Contract.ResendRatio,
 		DrainGrace:      o.Contract.DrainGrace,
 		MaxPollInterval: o.Contract.AskEvery, SlowStartCapacity: o.Contract.StartCapacity, SlowStartOverload: o.Contract.TipMultiple, SlowStartDuration: o.Contract.Cold,
-		WeighByWork: o.CountedBy == "work",
+		PriorityPerWorkUnit: o.CountedBy == "work",
 	}
 	if o.Membership != "automatic" && o.Membership != "subscribe" {
 		return s, fmt.Errorf("membership_mode: unknown word %q", o.Membership)
@@ -190,7 +190,7 @@
 			OrderedByKey: p.ByArrival})
 	}
 	for _, t := range o.Tenants {
-		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Share: t.Portion, RateQuota: t.Quota})
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, QuotaFraction: t.Portion, RateQuota: t.Quota})
 	}
 	return s, nil
 }
