--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -1,9 +1,6 @@
 package balancer
 
-import (
-	"errors"
-	"slices"
-)
+import "slices"
 
 // How new settings replace those in force. This file keeps books; it decides nothing.
 
@@ -19,11 +16,11 @@
 	}
 	// Counts and shares that one tier has taught mean nothing in another.
 	if s.Tier != b.settings.Tier {
-		return errors.New("balancer: Settings.Tier: a change needs a restart")
+		return &FieldError{Field: "Tier", Problem: "a change needs a restart", Value: s.Tier}
 	}
 	// What was asked of the subscription before would never be answered, or what is told now was never asked for.
 	if s.SubscribeRequired != b.settings.SubscribeRequired {
-		return errors.New("balancer: Settings.SubscribeRequired: a change needs a restart")
+		return &FieldError{Field: "SubscribeRequired", Problem: "a change needs a restart", Value: s.SubscribeRequired}
 	}
 	ordinal := b.settings.ReplicaIndex
 	b.configure(s)
