--- a/internal/settings/wire.go
+++ b/internal/settings/wire.go
@@ -70,9 +70,9 @@
 
 // wireTenant is a tenant.
 type wireTenant struct {
-	Name      string  `json:"name"`
-	Share     float64 `json:"portion"`
-	RateQuota float64 `json:"quota_per_s"`
+	Name          string  `json:"name"`
+	QuotaFraction float64 `json:"portion"`
+	RateQuota     float64 `json:"quota_per_s"`
 }
 
 // wireLimits is what the deployment permits.
@@ -101,14 +101,14 @@
 // balancerSettings maps the object to the balancer's settings. Its errors are *ValueError.
 func (w *wireSettings) balancerSettings() (balancer.Settings, error) {
 	settings := balancer.Settings{
-		Tier:          w.Tier,
-		Replicas:      w.Replicas,
-		ReplicaIndex:  w.ReplicaIndex,
-		Zone:          w.Zone,
-		Zones:         len(w.Zones),
-		CapacityHints: w.CapacityHints != weightsUnset && w.CapacityHints != weightsOff,
-		WeighByWork:   w.WeightUnit == unitWork,
-		MaxAttempts:   w.Limits.MaxAttempts,
+		Tier:                w.Tier,
+		Replicas:            w.Replicas,
+		ReplicaIndex:        w.ReplicaIndex,
+		Zone:                w.Zone,
+		Zones:               len(w.Zones),
+		CapacityHints:       w.CapacityHints != weightsUnset && w.CapacityHints != weightsOff,
+		PriorityPerWorkUnit: w.WeightUnit == unitWork,
+		MaxAttempts:         w.Limits.MaxAttempts,
 
 		MaxPollInterval:    w.Rules.MaxPollInterval,
 		RejectedMayRun:     w.Rules.RejectedMayRun,
