--- /dev/null
+++ b/internal/operatorstate/store_test.go
@@ -0,0 +1,423 @@
+package operatorstate
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"maps"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"syscall"
+	"testing"
+	"time"
+
+	"baylock/balancer"
+)
+
+const proxyName = "n0"
+
+func openStore(t *testing.T, dir string) *Store {
+	t.Helper()
+	s, err := Open(dir, proxyName, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(s.Close)
+	return s
+}
+
+// earlierFiles returns a folder with the files that an earlier version wrote: the program of d9ac8c1, after 40 requests
+// to three backends, of which a and c were detached and c attached again, and in lame duck.
+func earlierFiles(t *testing.T) string {
+	t.Helper()
+	dir := t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS("testdata")); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+func anyState(State) error { return nil }
+
+// change edits a store's state and fails the test on an error.
+func change(t *testing.T, s *Store, edit func(*State)) {
+	t.Helper()
+	if err := s.Change(anyState, edit, anyState); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func TestOpenReadsStateOfEarlierVersion(t *testing.T) {
+	want := State{Version: 4, Detached: []string{"a"}, AttachedAt: map[string]balancer.Microseconds{"c": 1796292068658715},
+		LameDuck: true}
+	if got := openStore(t, earlierFiles(t)).Current(); !reflect.DeepEqual(got, want) {
+		t.Errorf("got %+v, want %+v", got, want)
+	}
+}
+
+func TestLoadLearnedReadsFileOfEarlierVersion(t *testing.T) {
+	learned, recent, err := openStore(t, earlierFiles(t)).LoadLearned()
+	if err != nil || recent {
+		t.Fatalf("recent %v, %v", recent, err)
+	}
+	if learned.Tier != 5.5 || learned.Share != 2 || len(learned.Classes) != 3 || len(learned.Servers) != 3 {
+		t.Fatalf("got %+v", learned)
+	}
+	if class := learned.Classes[0]; class.Name != "look" || class.Count != 5.5 || class.Mean != 58616.4272949933 {
+		t.Errorf("got class %+v", class)
+	}
+	if endpoint := learned.Servers["b"]; endpoint.Slowness != 0.38814410958214657 || len(endpoint.Classes) != 3 {
+		t.Errorf("got endpoint %+v", endpoint)
+	}
+}
+
+// readJSON returns the content of a file.
+func readJSON(t *testing.T, path string) map[string]any {
+	t.Helper()
+	data, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var content map[string]any
+	if err := json.Unmarshal(data, &content); err != nil {
+		t.Fatal(err)
+	}
+	return content
+}
+
+// keyPaths lists the keys of a JSON value and of all that is in it, sorted.
+func keyPaths(value any, path string) []string {
+	found := map[string]bool{}
+	switch value := value.(type) {
+	case map[string]any:
+		for key, inner := range value {
+			found[path+"."+key] = true
+			for _, p := range keyPaths(inner, path+"."+key) {
+				found[p] = true
+			}
+		}
+	case []any:
+		for _, inner := range value {
+			for _, p := range keyPaths(inner, path+"[]") {
+				found[p] = true
+			}
+		}
+	}
+	return slices.Sorted(maps.Keys(found))
+}
+
+// Versions that run beside each other read each other's files.
+func TestStoreWritesKeysOfEarlierVersion(t *testing.T) {
+	earlier, dir := earlierFiles(t), t.TempDir()
+	learned, _, err := openStore(t, earlier).LoadLearned()
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := openStore(t, dir)
+	change(t, s, func(state *State) { state.Detach("a") })
+	change(t, s, func(state *State) { state.Detach("c") })
+	change(t, s, func(state *State) { state.Attach("c", time.Now()) })
+	change(t, s, func(state *State) { state.LameDuck = true })
+	if err := s.SaveLearned(learned); err != nil {
+		t.Fatal(err)
+	}
+	for name, want := range map[string][]string{
+		"fernlanding-n0.json": {".back", ".back.c", ".detached", ".lame_duck", ".version"},
+		"fernlanding-n0.json.learned": {".at", ".learned", ".learned.classes",
+			".learned.classes[].base", ".learned.classes[].count", ".learned.classes[].errs", ".learned.classes[].mean",
+			".learned.classes[].name", ".learned.classes[].seen", ".learned.errs", ".learned.servers",
+			".learned.servers.a", ".learned.servers.a.classes", ".learned.servers.a.launched", ".learned.servers.a.left",
+			".learned.servers.a.slowness", ".learned.servers.b", ".learned.servers.b.classes",
+			".learned.servers.b.launched", ".learned.servers.b.left", ".learned.servers.b.slowness", ".learned.servers.c",
+			".learned.servers.c.classes", ".learned.servers.c.launched", ".learned.servers.c.left",
+			".learned.servers.c.slowness", ".learned.share", ".learned.spill", ".learned.tier"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			before, after := readJSON(t, filepath.Join(earlier, name)), readJSON(t, filepath.Join(dir, name))
+			if got := keyPaths(before, ""); !slices.Equal(got, want) {
+				t.Errorf("the earlier version wrote %q", got)
+			}
+			if got := keyPaths(after, ""); !slices.Equal(got, want) {
+				t.Errorf("got %q", got)
+			}
+			if !reflect.DeepEqual(after["learned"], before["learned"]) {
+				t.Errorf("got values %v, want %v", after["learned"], before["learned"])
+			}
+			if kind := fmt.Sprintf("%T", after["version"]); kind != fmt.Sprintf("%T", before["version"]) {
+				t.Errorf("the version is a %s", kind)
+			}
+		})
+	}
+}
+
+func TestStoreWritesFilesOfFixedNames(t *testing.T) {
+	dir := t.TempDir()
+	s, err := Open(dir, "a/b c", slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer s.Close()
+	change(t, s, func(*State) {})
+	if err := s.SaveLearned(balancer.LearnedState{}); err != nil {
+		t.Fatal(err)
+	}
+	entries, err := os.ReadDir(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var names []string
+	for _, e := range entries {
+		names = append(names, e.Name())
+	}
+	base := "fernlanding-a%2Fb%20c"
+	if want := []string{base + ".json", base + ".json.learned", base + ".lock"}; !slices.Equal(names, want) {
+		t.Errorf("got %q, want %q", names, want)
+	}
+}
+
+// lockedBytes lists the bytes of the lock file that others than the caller have locked.
+func lockedBytes(t *testing.T, dir string) []int64 {
+	t.Helper()
+	file, err := os.OpenFile(filepath.Join(dir, "fernlanding-n0.lock"), os.O_RDWR, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	const getOpenFileLock = 36 // F_OFD_GETLK
+	var locked []int64
+	for offset := range int64(64) {
+		query := syscall.Flock_t{Type: syscall.F_WRLCK, Whence: io.SeekStart, Start: offset, Len: 1}
+		if err := syscall.FcntlFlock(file.Fd(), getOpenFileLock, &query); err != nil {
+			t.Fatal(err)
+		}
+		if query.Type != syscall.F_UNLCK {
+			locked = append(locked, offset)
+		}
+	}
+	return locked
+}
+
+// Other versions look at the same bytes.
+func TestStoreLocksFixedBytes(t *testing.T) {
+	dir := t.TempDir()
+	expect := func(when string, want ...int64) {
+		t.Helper()
+		if got := lockedBytes(t, dir); !slices.Equal(got, want) {
+			t.Errorf("%s: %v are locked, want %v", when, got, want)
+		}
+	}
+	first, second := openStore(t, dir), openStore(t, dir)
+	expect("two processes", 1, 2)
+	for _, s := range []*Store{first, second} {
+		if err := s.StartAccepting(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	expect("both accept", 1, 2, 9, 10)
+	change(t, first, func(*State) { expect("a change", 0, 1, 2, 9, 10) })
+	first.StopAccepting()
+	expect("the first stops", 1, 2, 10)
+	first.Close()
+	expect("the first has ended", 2, 10)
+	third := openStore(t, dir)
+	if err := third.StartAccepting(); err != nil {
+		t.Fatal(err)
+	}
+	expect("a third in its place", 1, 2, 9, 10)
+}
+
+func TestStoreCountsOtherProcesses(t *testing.T) {
+	dir := t.TempDir()
+	first := openStore(t, dir)
+	if !first.Alone() || first.AcceptingPeers() != 0 {
+		t.Errorf("one process: alone %v, %d accept", first.Alone(), first.AcceptingPeers())
+	}
+	if err := first.StartAccepting(); err != nil {
+		t.Fatal(err)
+	}
+	second := openStore(t, dir)
+	if first.Alone() || first.AcceptingPeers() != 0 || second.Alone() || second.AcceptingPeers() != 1 {
+		t.Errorf("two processes: alone %v and %v, %d and %d others accept", first.Alone(), second.Alone(),
+			first.AcceptingPeers(), second.AcceptingPeers())
+	}
+	second.Close()
+	if !first.Alone() {
+		t.Error("not alone after the other's end")
+	}
+}
+
+func TestOpenFailsWithoutFreeSlot(t *testing.T) {
+	dir := t.TempDir()
+	for range 8 {
+		openStore(t, dir)
+	}
+	if _, err := Open(dir, proxyName, slog.New(slog.DiscardHandler)); !errors.Is(err, ErrNoFreeSlot) {
+		t.Errorf("got %v", err)
+	}
+}
+
+func TestOpenFailsWithoutFolder(t *testing.T) {
+	if _, err := Open(filepath.Join(t.TempDir(), "none"), proxyName, slog.New(slog.DiscardHandler)); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("got %v", err)
+	}
+}
+
+func TestOpenTreatsDamagedFileAsEmpty(t *testing.T) {
+	for name, text := range map[string]string{"half": `{"version":3,"det`, "array": `[1,2]`, "empty": "",
+		"type": `{"version":1,"detached":{"a":1}}`} {
+		t.Run(name, func(t *testing.T) {
+			dir := t.TempDir()
+			path := filepath.Join(dir, "fernlanding-n0.json")
+			if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			s := openStore(t, dir)
+			if got := s.Current(); !reflect.DeepEqual(got, State{}) {
+				t.Errorf("got %+v", got)
+			}
+			change(t, s, func(state *State) { state.Detach("a") })
+			if got := openStore(t, dir).Current(); got.Version != 1 || !slices.Equal(got.Detached, []string{"a"}) {
+				t.Errorf("then %+v", got)
+			}
+		})
+	}
+}
+
+func TestSyncAppliesChangeOfOtherProcessOnce(t *testing.T) {
+	dir := t.TempDir()
+	first, second := openStore(t, dir), openStore(t, dir)
+	change(t, first, func(state *State) { state.Detach("a") })
+	var applied []State
+	apply := func(state State) error {
+		applied = append(applied, state)
+		return nil
+	}
+	for range 3 {
+		if err := second.Sync(apply); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if len(applied) != 1 || applied[0].Version != 1 || !slices.Equal(applied[0].Detached, []string{"a"}) {
+		t.Errorf("applied %+v", applied)
+	}
+	if err := first.Sync(apply); err != nil || len(applied) != 1 {
+		t.Errorf("its own change is applied again: %+v, %v", applied, err)
+	}
+}
+
+func TestSyncRetriesStateThatWasNotApplied(t *testing.T) {
+	s := openStore(t, t.TempDir())
+	broken := errors.New("not carried out")
+	err := s.Change(anyState, func(state *State) { state.LameDuck = true }, func(State) error { return broken })
+	if !errors.Is(err, broken) {
+		t.Fatalf("got %v", err)
+	}
+	applied := 0
+	for range 2 {
+		if err := s.Sync(func(state State) error { applied++; return anyState(state) }); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if applied != 1 || !s.Current().LameDuck {
+		t.Errorf("applied %d times, state %+v", applied, s.Current())
+	}
+}
+
+func TestChangeKeepsStateOnError(t *testing.T) {
+	refused := errors.New("refused")
+	for name, c := range map[string]struct {
+		prepare func(t *testing.T, dir string)
+		check   func(State) error
+		want    error
+	}{
+		"check fails": {func(*testing.T, string) {}, func(State) error { return refused }, refused},
+		"state locked": {func(t *testing.T, dir string) {
+			t.Helper()
+			if err := openStore(t, dir).locks.lock(stateByte); err != nil {
+				t.Fatal(err)
+			}
+		}, anyState, ErrStateLocked},
+		"folder gone": {func(t *testing.T, dir string) {
+			t.Helper()
+			if err := os.RemoveAll(dir); err != nil {
+				t.Fatal(err)
+			}
+		}, anyState, os.ErrNotExist},
+	} {
+		t.Run(name, func(t *testing.T) {
+			dir := t.TempDir()
+			s := openStore(t, dir)
+			c.prepare(t, dir)
+			err := s.Change(c.check, func(state *State) { state.LameDuck = true }, func(State) error {
+				t.Error("it is applied")
+				return nil
+			})
+			if !errors.Is(err, c.want) || !reflect.DeepEqual(s.Current(), State{}) {
+				t.Errorf("got %v, state %+v", err, s.Current())
+			}
+		})
+	}
+}
+
+func TestLoadLearnedTellsRecentState(t *testing.T) {
+	dir := t.TempDir()
+	s := openStore(t, dir)
+	if _, recent, err := s.LoadLearned(); recent || err != nil {
+		t.Errorf("no file: recent %v, %v", recent, err)
+	}
+	if err := s.SaveLearned(balancer.LearnedState{Share: 0.5}); err != nil {
+		t.Fatal(err)
+	}
+	if got, recent, err := s.LoadLearned(); !recent || err != nil || got.Share != 0.5 {
+		t.Errorf("got %+v, recent %v, %v", got, recent, err)
+	}
+	if err := os.WriteFile(filepath.Join(dir, "fernlanding-n0.json.learned"), []byte(`{"at":"now`), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, recent, err := s.LoadLearned(); recent || err == nil {
+		t.Errorf("a damaged file: recent %v, %v", recent, err)
+	}
+}
+
+func TestStoreInMemoryHasNoPeers(t *testing.T) {
+	s := NewInMemory(slog.New(slog.DiscardHandler))
+	defer s.Close()
+	if err := s.StartAccepting(); err != nil {
+		t.Error(err)
+	}
+	if s.Shared() || !s.Alone() || s.AcceptingPeers() != 0 {
+		t.Errorf("shared %v, alone %v, %d others accept", s.Shared(), s.Alone(), s.AcceptingPeers())
+	}
+	change(t, s, func(state *State) { state.Detach("a") })
+	if got := s.Current(); got.Version != 1 || !slices.Equal(got.Detached, []string{"a"}) {
+		t.Errorf("got %+v", got)
+	}
+	s.StopAccepting()
+}
+
+func TestStateAttachRevertsDetach(t *testing.T) {
+	now := time.UnixMicro(5_000_000)
+	for name, c := range map[string]struct {
+		edit func(*State)
+		want State
+	}{
+		"detached twice":        {func(s *State) { s.Detach("a"); s.Detach("a") }, State{Detached: []string{"a"}}},
+		"attached":              {func(s *State) { s.Detach("a"); s.Attach("a", now) }, State{Detached: []string{}, AttachedAt: map[string]balancer.Microseconds{"a": 5_000_000}}},
+		"attached, in use":      {func(s *State) { s.Attach("a", now) }, State{}},
+		"detached again":        {func(s *State) { s.Detach("a"); s.Attach("a", now); s.Detach("a") }, State{Detached: []string{"a"}, AttachedAt: map[string]balancer.Microseconds{}}},
+		"attached long ago":     {func(s *State) { s.Detach("a"); s.Attach("a", now); s.forgetAttachedBefore(now.Add(1 * time.Second)) }, State{Detached: []string{}, AttachedAt: map[string]balancer.Microseconds{}}},
+		"attached a moment ago": {func(s *State) { s.Detach("a"); s.Attach("a", now); s.forgetAttachedBefore(now) }, State{Detached: []string{}, AttachedAt: map[string]balancer.Microseconds{"a": 5_000_000}}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var got State
+			c.edit(&got)
+			if !reflect.DeepEqual(got, c.want) {
+				t.Errorf("got %+v, want %+v", got, c.want)
+			}
+		})
+	}
+}
--- a/internal/proxy/console_test.go
+++ b/internal/proxy/console_test.go
@@ -146,11 +146,8 @@
 	if got := p.health(t); got != 200 {
 		t.Errorf("health is %d", got)
 	}
-	p.shared.mu.Lock() // another goroutine looks for news from other processes
-	st := p.shared.now
-	p.shared.mu.Unlock()
-	if len(st.Detached) != 0 || st.LameDuck {
-		t.Errorf("what operators said: %+v", st)
+	if state := p.operatorState.Current(); len(state.Detached) != 0 || state.LameDuck {
+		t.Errorf("what operators said: %+v", state)
 	}
 	for _, text := range []string{"what is this\r\n\r\n", "GET /_ready HTTP/1.1\r\n\r\n", // no Host
 		"POST /_backends/detach HTTP/1.1\r\nHost: h\r\nContent-Length: 99\r\n\r\na"} {
@@ -414,9 +411,9 @@
 	operate(t, old, "POST /_lameduck/off", "")
 	waitUntil(t, func() bool { return !next.front.duck.Load() })
 	operate(t, next, "POST /_backends/detach", "b")
-	waitUntil(t, func() bool { return old.out("b") && old.out("a") && next.out("a") })
+	waitUntil(t, func() bool { return old.isDetached("b") && old.isDetached("a") && next.isDetached("a") })
 	operate(t, old, "POST /_backends/attach", "b")
-	waitUntil(t, func() bool { return !next.out("b") })
+	waitUntil(t, func() bool { return !next.isDetached("b") })
 	old.stop()
 	waitUntil(t, func() bool { return old.front.draining.Load() })
 	if got := old.Proxy.front.healthy(); !got {
@@ -436,10 +433,10 @@
 	}
 }
 
-// out tells whether the loop has taken a backend out.
-func (p *running) out(id string) bool {
+// isDetached tells whether the loop has detached a backend.
+func (p *running) isDetached(id string) bool {
 	got := make(chan bool, 1)
-	p.loop.post(func() { got <- p.loop.out[id] })
+	p.loop.post(func() { got <- p.loop.detached[id] })
 	return <-got
 }
 
@@ -552,8 +549,8 @@
 			if err := os.WriteFile(path, []byte(text), 0o600); err != nil { // while it runs
 				t.Fatal(err)
 			}
-			time.Sleep(2 * agreeEvery)
-			if !p.out("a") {
+			time.Sleep(2 * stateSyncInterval)
+			if !p.isDetached("a") {
 				t.Error("the ban is lost")
 			}
 		})
@@ -593,7 +590,10 @@
 	l := learned(old)
 	l.Share, l.Tier = 0.5, 9
 	old.loop.post(func() { old.loop.bal.ImportState(l) })
-	waitUntil(t, func() bool { got, ok, err := old.shared.learned(); return ok && err == nil && got.Share == 0.5 })
+	waitUntil(t, func() bool {
+		got, ok, err := old.operatorState.LoadLearned()
+		return ok && err == nil && got.Share == 0.5
+	})
 	next := startWithConsole(t, dir, old.Addr(), d.addr, entry)
 	if got := learned(next); got.Share != 0.5 || got.Tier != 9 {
 		t.Errorf("got %+v", got)
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -77,7 +77,7 @@
 
 	inForce atomic.Pointer[snapshot] // the settings; the loop replaces them, and each request is read under one
 
-	out      map[string]bool     // the backends that operators have taken out
+	detached map[string]bool     // the backends that operators have detached
 	reqs     map[string]*request // until answered and no attempt is out
 	timers   timing.Queue[due]
 	unsent   []*attempt // Sends that cannot be carried out; their outcomes follow the present event
@@ -182,22 +182,22 @@
 	}
 }
 
-// detached carries out which backends operators have taken out, in the connections first and then in the module.
-func (l *loop) detached(st state) {
-	out := make(map[string]bool, len(st.Detached))
-	for _, id := range st.Detached {
-		if out[id] = true; !l.out[id] {
+// setDetached carries out which backends operators have detached, in the connections first and then in the balancer.
+func (l *loop) setDetached(ids []string) {
+	detached := make(map[string]bool, len(ids))
+	for _, id := range ids {
+		if detached[id] = true; !l.detached[id] {
 			l.pool.takeOut(id, true)
 			l.bal.Detach(id)
 		}
 	}
-	for id := range l.out {
-		if !out[id] {
+	for id := range l.detached {
+		if !detached[id] {
 			l.pool.takeOut(id, false)
 			l.bal.Attach(l.clock.Now(), id)
 		}
 	}
-	l.out = out
+	l.detached = detached
 }
 
 func (l *loop) apply(kind balancer.UpdateKind, list *discovery.List) {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -12,6 +12,7 @@
 
 	"baylock/balancer"
 	"baylock/internal/discovery"
+	"baylock/internal/operatorstate"
 	"baylock/internal/settings"
 	"baylock/internal/timing"
 )
@@ -53,14 +54,13 @@
 
 // Proxy is one proxy with its listener open.
 type Proxy struct {
-	cfg      Config
-	loop     *loop
-	front    *frontend
-	console  *console // nil if none is wanted
-	shared   *shared
-	followed int64         // the version of the state that is carried out; changed under the state's lock
-	opened   chan struct{} // closed when all listeners are open
-	renews   chan string   // addresses of discovery that new configurations name
+	cfg           Config
+	loop          *loop
+	front         *frontend
+	console       *console // nil if none is wanted
+	operatorState *operatorstate.Store
+	opened        chan struct{} // closed when all listeners are open
+	renews        chan string   // addresses of discovery that new configurations name
 
 	reloading sync.Mutex // held by Reload
 
@@ -82,46 +82,52 @@
 		return nil, err
 	}
 	forClients, forBackends := divide(cfg.Sockets)
-	dir := cfg.TempDir
-	if cfg.Console == "" { // no operator can say anything
-		dir = ""
-	}
-	sh, err := openShared(dir, cfg.Name, cfg.Log)
-	if err != nil { // to serve is worth more than to remember
-		cfg.Log.Error("what operators say is not kept", "error", err)
-		sh = &shared{log: cfg.Log}
-	}
+	store := openOperatorState(cfg)
+	operators := store.Current()
 	l := newLoop(bal, timing.NewClock(), newBackends(cfg.Site.DialTimeout, cfg.Site.IdleClose, forBackends),
 		zones, cfg.Log)
 	l.inForce.Store(first)
-	p := &Proxy{cfg: cfg, loop: l, shared: sh, renews: make(chan string), opened: make(chan struct{}),
+	p := &Proxy{cfg: cfg, loop: l, operatorState: store, renews: make(chan string), opened: make(chan struct{}),
 		front: newFrontend(l, forClients, cfg.Log)}
 	if cfg.Console != "" {
 		p.console = newConsole(p, cfg.Log)
 	}
-	l.detached(sh.now)
+	l.setDetached(operators.Detached)
 	if cfg.Known != nil {
 		l.apply(balancer.CachedUpdate, cfg.Known)
 	}
-	for id, at := range sh.now.Back { // put back by hand a short while ago
+	for id, at := range operators.AttachedAt {
 		bal.Detach(id)
 		bal.Attach(at, id)
 	}
-	p.followed = sh.now.Version
-	alone := sh.alone()
+	alone := store.Alone()
 	p.limit(alone)
 	if alone {
 		if err := p.open(); err != nil {
 			return nil, err
 		}
-	} else if learned, ok, err := sh.learned(); err != nil {
-		cfg.Log.Error("what was learned is not taken", "error", err)
-	} else if ok {
+	} else if learned, recent, err := store.LoadLearned(); err != nil {
+		cfg.Log.Error("learned state is not taken", "error", err)
+	} else if recent {
 		bal.ImportState(learned)
 	}
 	return p, nil
 }
 
+// openOperatorState returns the store that this proxy's processes share, or one in memory where there is no folder for it,
+// no operator who could say anything, or it can't be opened.
+func openOperatorState(cfg Config) *operatorstate.Store {
+	if cfg.TempDir == "" || cfg.Console == "" {
+		return operatorstate.NewInMemory(cfg.Log)
+	}
+	store, err := operatorstate.Open(cfg.TempDir, cfg.Name, cfg.Log)
+	if err != nil {
+		cfg.Log.Error("operator state is not stored", "error", err)
+		return operatorstate.NewInMemory(cfg.Log)
+	}
+	return store
+}
+
 // divide gives clients and backends their parts of the descriptors. Each open request has at most one attempt out,
 // and a third more connections to backends may be kept for the next. What is left is the clients': their open
 // requests, and those that are silent or idle.
@@ -133,7 +139,7 @@
 // open opens the listeners. Any process of this proxy may listen at the clients' address; the newest gets the
 // connections.
 func (p *Proxy) open() error {
-	before := p.shared.others(openByte)
+	before := p.operatorState.AcceptingPeers()
 	listener, err := listenShared(p.cfg.Listen, before, p.cfg.Log)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -145,8 +151,8 @@
 			return fmt.Errorf("listen for operators: %w", err)
 		}
 	}
-	if err := p.shared.open(); err != nil {
-		return fmt.Errorf("shared state: %w", err)
+	if err := p.operatorState.StartAccepting(); err != nil {
+		return err
 	}
 	close(p.opened)
 	p.cfg.Log.Info("open", "address", p.cfg.Listen, "console", p.cfg.Console, "others", before)
@@ -161,18 +167,18 @@
 
 // Run serves until the context ends, then finishes what it has taken.
 func (p *Proxy) Run(ctx context.Context) error {
-	defer p.shared.close()
+	defer p.operatorState.Close()
 	inner, stop := context.WithCancel(context.Background())
 	var parts sync.WaitGroup
 	defer p.front.lameDuck(false)
 	defer parts.Wait()
 	defer stop()
-	p.front.lameDuck(p.shared.now.LameDuck)
+	p.front.lameDuck(p.operatorState.Current().LameDuck)
 	p.cfg.Log.Info("settings in force", "version", p.loop.inForce.Load().version, "discovery", p.cfg.Discovery)
 	parts.Go(func() { p.loop.run(inner) })
 	parts.Go(func() { p.watch(inner) })
-	if p.shared.lock != nil {
-		parts.Go(func() { p.agree(inner) })
+	if p.operatorState.Shared() {
+		parts.Go(func() { p.syncState(inner) })
 	}
 	if !p.takeOver(ctx) {
 		return nil
@@ -201,9 +207,9 @@
 	case <-ctx.Done():
 	}
 	told := time.Now()
-	p.front.succeeded.Store(p.shared.succeeded())
+	p.front.succeeded.Store(p.operatorState.AcceptingPeers() > 0)
 	p.front.terminate()
-	p.shared.shut()
+	p.operatorState.StopAccepting()
 	window := min(p.loop.inForce.Load().longestAt(told), killAfter) + killLeeway
 	cutoff := told.Add(window)
 	lastCall := balancer.Microseconds(0)
