--- a/internal/proxy/console.go
+++ b/internal/proxy/console.go
@@ -13,118 +13,184 @@
 )
 
 const (
-	consoleConns = 12                     // connections at a time; those that say nothing make room
-	consoleHead  = 2 * time.Second        // a caller has this long for its head
-	consoleBody  = 500 * time.Millisecond // and this long for its body, which is one short word
-	consoleWait  = 900 * time.Millisecond // an answer is due after 1 s
-	maxCallHead  = 4 << 10
-	maxCallBody  = 512
+	adminMaxConnections   = 12 // at a time; those without a complete call are evicted for others
+	adminHeadTimeout      = 2 * time.Second
+	adminBodyTimeout      = 500 * time.Millisecond
+	adminOperationTimeout = 900 * time.Millisecond // an answer is due within 1 s
+	adminWriteTimeout     = 4 * time.Second
+	adminMaxHeadBytes     = 4 << 10
+	adminMaxBodyBytes     = 512
+
+	readyPath     = "/_ready"
+	succeededLine = "ok" // the answer to a call that was carried out
 )
 
-// console takes the calls of operators, one to a connection. A yes is given once the loop has done what was asked.
-type console struct {
-	conns  *clients
-	server *http.Server
-	calls  map[string]call
-	log    *slog.Logger
+// errUnknownBackend is returned by Operations for an ID that no backend has.
+var errUnknownBackend = errors.New("no backend has this id")
+
+// Operations is what operators can have a proxy do. A method that returns nil has done it; an error other than
+// errUnknownBackend means that the proxy can't now.
+type Operations interface {
+	// Ready returns one line on the settings in force, or an error while the process doesn't serve.
+	Ready() (settings string, err error)
+	// Detach keeps new requests from a backend until Attach.
+	Detach(ctx context.Context, backendID string) error
+	Attach(ctx context.Context, backendID string) error
+	// SetLameDuck empties the proxy of clients, or takes it back into service.
+	SetLameDuck(ctx context.Context, on bool) error
 }
 
-// yes is the answer to a call that was done, where no more is to be told.
-const yes = "ok"
+// adminServer is the operators' console: HTTP with one call to a connection.
+type adminServer struct {
+	connections *clients
+	server      *http.Server
+	calls       map[string]adminCall
+	log         *slog.Logger
+}
 
-// call is one of the console's calls; do returns the line of a yes, or why it is a no.
-type call struct {
-	method string
-	named  bool // the body names a backend
-	do     func(ctx context.Context, id string) (word string, err error)
+// adminCall is one of the console's calls.
+type adminCall struct {
+	method       string
+	takesBackend bool // its body is the ID of a backend
+	run          func(ctx context.Context, backendID string) (line string, err error)
 }
 
-// no is a refusal of a call, with its status.
-type no struct {
+// callError is why a call is not carried out, with the status of its answer.
+type callError struct {
 	status int
-	why    string
+	reason string
 }
 
-func (n no) Error() string { return n.why }
+func (e *callError) Error() string { return e.reason }
 
-func newConsole(p *Proxy, log *slog.Logger) *console {
-	c := &console{conns: newClients(nil, consoleConns), log: log, calls: map[string]call{
-		"/_ready":           {http.MethodGet, false, p.ready},
-		"/_backends/detach": {http.MethodPost, true, p.detach},
-		"/_backends/attach": {http.MethodPost, true, p.attach},
-		"/_lameduck/on":     {http.MethodPost, false, p.lameDuck(true)},
-		"/_lameduck/off":    {http.MethodPost, false, p.lameDuck(false)},
-	}}
-	c.conns.just = 0 // half calls would spare each other
-	c.conns.mayWait = true
-	c.server = &http.Server{Handler: c, ReadHeaderTimeout: consoleHead, IdleTimeout: consoleHead, MaxHeaderBytes: maxCallHead,
-		WriteTimeout: 2 * consoleHead, ErrorLog: quietLog(log),
-		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
-			return context.WithValue(ctx, clientKey{}, conn)
+func newAdminServer(operations Operations, log *slog.Logger) *adminServer {
+	s := &adminServer{connections: newClients(nil, adminMaxConnections), log: log, calls: adminCalls(operations)}
+	s.connections.just = 0 // incomplete calls are evicted, however new
+	s.connections.mayWait = true
+	s.server = &http.Server{
+		Handler:           s,
+		ReadHeaderTimeout: adminHeadTimeout,
+		IdleTimeout:       adminHeadTimeout,
+		WriteTimeout:      adminWriteTimeout,
+		MaxHeaderBytes:    adminMaxHeadBytes,
+		ErrorLog:          quietLog(log),
+		ConnContext: func(ctx context.Context, connection net.Conn) context.Context {
+			return context.WithValue(ctx, clientKey{}, connection)
 		},
-		// A call is open once all of it has come: one that waits for its body makes room like one that says nothing.
-		ConnState: func(conn net.Conn, s http.ConnState) {
-			if s != http.StateActive {
-				c.conns.state(conn, s)
+		// readCall marks a connection as active when its call is complete: one that waits for a body can be evicted.
+		ConnState: func(connection net.Conn, state http.ConnState) {
+			if state != http.StateActive {
+				s.connections.state(connection, state)
 			}
+		},
+	}
+	s.server.SetKeepAlivesEnabled(false)
+	return s
+}
+
+// adminCalls returns the calls by path.
+func adminCalls(operations Operations) map[string]adminCall {
+	backendCall := func(operation func(context.Context, string) error) adminCall {
+		return adminCall{http.MethodPost, true, func(ctx context.Context, backendID string) (string, error) {
+			return succeededLine, operation(ctx, backendID)
+		}}
+	}
+	lameDuckCall := func(on bool) adminCall {
+		return adminCall{http.MethodPost, false, func(ctx context.Context, _ string) (string, error) {
+			return succeededLine, operations.SetLameDuck(ctx, on)
 		}}
-	c.server.SetKeepAlivesEnabled(false)
-	return c
+	}
+	readyCall := adminCall{http.MethodGet, false, func(context.Context, string) (string, error) {
+		settings, err := operations.Ready()
+		return succeededLine + " " + settings, err
+	}}
+	return map[string]adminCall{
+		readyPath:           readyCall,
+		"/_backends/detach": backendCall(operations.Detach),
+		"/_backends/attach": backendCall(operations.Attach),
+		"/_lameduck/on":     lameDuckCall(true),
+		"/_lameduck/off":    lameDuckCall(false),
+	}
 }
 
-func (c *console) serve() error {
-	if err := c.server.Serve(c.conns); !errors.Is(err, net.ErrClosed) && !errors.Is(err, http.ErrServerClosed) {
+// serve takes calls until close.
+func (s *adminServer) serve() error {
+	err := s.server.Serve(s.connections)
+	if !errors.Is(err, net.ErrClosed) && !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("console: %w", err)
 	}
 	return nil
 }
 
-func (c *console) close() { _ = c.server.Close() }
+func (s *adminServer) close() { _ = s.server.Close() }
 
 // ServeHTTP answers one call.
-func (c *console) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *adminServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	status := http.StatusOK
-	id, word, err := c.answer(w, r)
+	backendID, line, err := s.handle(w, r)
 	if err != nil {
-		status, word = http.StatusServiceUnavailable, err.Error()
-		if n, ok := errors.AsType[no](err); ok {
-			status = n.status
-		}
+		status, line = errorStatus(err), err.Error()
 	}
-	if r.URL.Path != "/_ready" {
-		c.log.Info("console", "call", r.URL.Path, "id", id, "status", status, "word", word)
+	if r.URL.Path != readyPath {
+		s.log.Info("console", "call", r.URL.Path, "id", backendID, "status", status, "answer", line)
 	}
-	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(consoleBody)) // what is left of a body may never come
+	setBodyDeadline(w) // the rest of a body may never arrive
 	w.Header().Set("Content-Type", "text/plain")
 	w.WriteHeader(status)
-	_, _ = io.WriteString(w, word+"\n") // a caller that has gone is no fault
+	_, _ = io.WriteString(w, line+"\n") // fails where the caller has gone
 }
 
-func (c *console) answer(w http.ResponseWriter, r *http.Request) (id, word string, err error) {
-	known, ok := c.calls[r.RequestURI]
+// errorStatus returns the status of the answer to a call that failed.
+func errorStatus(err error) int {
+	if e, ok := errors.AsType[*callError](err); ok {
+		return e.status
+	}
+	if errors.Is(err, errUnknownBackend) {
+		return http.StatusNotFound
+	}
+	return http.StatusServiceUnavailable
+}
+
+// handle reads a call and carries it out. It returns the backend that the call names, if any, and the answer's line.
+func (s *adminServer) handle(w http.ResponseWriter, r *http.Request) (backendID, line string, err error) {
+	call, ok := s.calls[r.RequestURI]
 	if !ok {
-		return "", "", no{http.StatusNotFound, "no such call"}
+		return "", "", &callError{http.StatusNotFound, "no such call"}
 	}
-	if r.Method != known.method {
-		w.Header().Set("Allow", known.method)
-		return "", "", no{http.StatusMethodNotAllowed, "the call is " + known.method}
+	if r.Method != call.method {
+		w.Header().Set("Allow", call.method)
+		return "", "", &callError{http.StatusMethodNotAllowed, "the call is " + call.method}
 	}
-	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(consoleBody))
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCallBody))
+	if backendID, err = readBackendID(w, r, call.takesBackend); err != nil {
+		return "", "", err
+	}
+	if connection, ok := r.Context().Value(clientKey{}).(*clientConn); ok {
+		s.connections.state(connection, http.StateActive)
+	}
+	ctx, cancel := context.WithTimeout(r.Context(), adminOperationTimeout)
+	defer cancel()
+	line, err = call.run(ctx, backendID)
+	return backendID, line, err
+}
+
+// readBackendID reads a call's body, which is empty unless it has to name a backend.
+func readBackendID(w http.ResponseWriter, r *http.Request, wanted bool) (string, error) {
+	setBodyDeadline(w)
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, adminMaxBodyBytes))
 	if errors.As(err, new(*http.MaxBytesError)) {
-		return "", "", no{http.StatusRequestEntityTooLarge, "the body is too large"}
-	} else if err != nil {
-		return "", "", no{http.StatusBadRequest, "the body broke off"}
+		return "", &callError{http.StatusRequestEntityTooLarge, "the body is too large"}
 	}
-	id = strings.TrimSpace(string(body))
-	if known.named == (id == "") {
-		return "", "", no{http.StatusBadRequest, "the body has to hold the id of a backend, or nothing where none is named"}
+	if err != nil {
+		return "", &callError{http.StatusBadRequest, "the body broke off"}
 	}
-	if conn, ok := r.Context().Value(clientKey{}).(*clientConn); ok {
-		c.conns.state(conn, http.StateActive)
+	id := strings.TrimSpace(string(body))
+	if wanted == (id == "") {
+		return "", &callError{http.StatusBadRequest,
+			"the body has to hold the id of a backend, or nothing where none is named"}
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), consoleWait)
-	defer cancel()
-	word, err = known.do(ctx, id)
-	return id, word, err
+	return id, nil
+}
+
+func setBodyDeadline(w http.ResponseWriter) {
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(adminBodyTimeout))
 }
--- a/internal/proxy/console_test.go
+++ b/internal/proxy/console_test.go
@@ -120,7 +120,7 @@
 		{"POST /_backends/detach", "nobody", 404},
 		{"POST /_backends/detach", "a b", 404},
 		{"POST /_backends/detach", "\x00\xff", 404},
-		{"POST /_backends/detach", strings.Repeat("a", maxCallBody+1), 413},
+		{"POST /_backends/detach", strings.Repeat("a", adminMaxBodyBytes+1), 413},
 		{"POST /_backends/attach", "nobody", 404},
 		{"POST /_backends/attach", "a", 200}, // it is in use: nothing to do
 		{"POST /_backends/detach", "a", 200},
@@ -163,7 +163,7 @@
 // them are bounded.
 func TestSilentCallersDelayNobody(t *testing.T) {
 	p, _, _ := operated(t)
-	for i := range 4 * consoleConns {
+	for i := range 4 * adminMaxConnections {
 		c := dial(t, p.ConsoleAddr())
 		switch i % 3 {
 		case 1:
@@ -180,7 +180,7 @@
 		if took := time.Since(start); took > time.Second {
 			t.Errorf("answered after %v", took)
 		}
-		if n := p.console.conns.count(); n > consoleConns {
+		if n := p.console.connections.count(); n > adminMaxConnections {
 			t.Errorf("%d connections", n)
 		}
 	}
@@ -249,7 +249,7 @@
 	if got := operate(t, p, "POST /_backends/detach", "a"); got != 503 {
 		t.Errorf("with the loop held: got %d", got)
 	}
-	if took := time.Since(start); took < consoleWait {
+	if took := time.Since(start); took < adminOperationTimeout {
 		t.Errorf("after %v", took)
 	}
 	close(release)
--- a/internal/proxy/operations.go
+++ b/internal/proxy/operations.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"net/http"
 	"slices"
 	"time"
 
@@ -17,61 +16,71 @@
 	saveLearnedEvery  = 20 // syncs of the state between two saves of what the balancer has learned
 )
 
-// do has the loop carry out f and waits until it has.
+// Errors of operations that the proxy can't carry out now.
+var (
+	errStarting     = errors.New("starting")
+	errNoEndpoints  = errors.New("no list of backends yet")
+	errShuttingDown = errors.New("ending")
+	errLoopEnded    = errors.New("the proxy has ended")
+	errLoopBusy     = errors.New("the proxy is too busy to say")
+	errNotDoneYet   = errors.New("not done yet")
+)
+
+// do has the loop call f and waits until it has.
 func (l *loop) do(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	select {
 	case l.events <- func() { f(); close(done) }:
 	case <-l.done:
-		return errors.New("the proxy has ended")
+		return errLoopEnded
 	case <-ctx.Done():
-		return errors.New("the proxy is too busy to say")
+		return errLoopBusy
 	}
 	select {
 	case <-done:
 		return nil
 	case <-l.done:
-		return errors.New("the proxy has ended")
+		return errLoopEnded
 	case <-ctx.Done():
-		return errors.New("not done yet")
+		return errNotDoneYet
 	}
 }
 
-// ready tells whether this process serves: it has an endpoint list, the operators' state, and open listeners. Lame duck
-// doesn't matter here, as no new version could take over from a process that is in it. The answer shows the settings in
-// force.
-func (p *Proxy) ready(context.Context, string) (string, error) {
+// Ready implements Operations: this process has an endpoint list and open listeners, and doesn't shut down. Lame duck
+// doesn't matter, as no new version could take over from a process that is in it.
+func (p *Proxy) Ready() (settings string, err error) {
 	select {
 	case <-p.opened:
 	default:
-		return "", no{http.StatusServiceUnavailable, "starting"}
+		return "", errStarting
 	}
 	select {
 	case <-p.loop.listed:
 	default:
-		return "", no{http.StatusServiceUnavailable, "no list of backends yet"}
+		return "", errNoEndpoints
 	}
 	if p.front.draining.Load() {
-		return "", no{http.StatusServiceUnavailable, "ending"}
+		return "", errShuttingDown
 	}
-	return yes + " " + p.loop.inForce.Load().word(), nil
+	return p.loop.inForce.Load().word(), nil
 }
 
-func (p *Proxy) detach(ctx context.Context, id string) (string, error) {
-	return yes, p.changeBackend(ctx, id, func(state *operatorstate.State) { state.Detach(id) })
+// Detach implements Operations.
+func (p *Proxy) Detach(ctx context.Context, backendID string) error {
+	return p.changeBackend(ctx, backendID, func(state *operatorstate.State) { state.Detach(backendID) })
 }
 
-func (p *Proxy) attach(ctx context.Context, id string) (string, error) {
-	return yes, p.changeBackend(ctx, id, func(state *operatorstate.State) { state.Attach(id, time.Now()) })
+// Attach implements Operations.
+func (p *Proxy) Attach(ctx context.Context, backendID string) error {
+	return p.changeBackend(ctx, backendID, func(state *operatorstate.State) { state.Attach(backendID, time.Now()) })
 }
 
-func (p *Proxy) lameDuck(on bool) func(context.Context, string) (string, error) {
-	return func(ctx context.Context, _ string) (string, error) {
-		return yes, p.operatorState.Change(
-			func(operatorstate.State) error { return nil },
-			func(state *operatorstate.State) { state.LameDuck = on },
-			p.applyState(ctx))
-	}
+// SetLameDuck implements Operations.
+func (p *Proxy) SetLameDuck(ctx context.Context, on bool) error {
+	return p.operatorState.Change(
+		func(operatorstate.State) error { return nil },
+		func(state *operatorstate.State) { state.LameDuck = on },
+		p.applyState(ctx))
 }
 
 // changeBackend changes what operators have said of one backend and carries it out. The backend has to be detached or
@@ -86,7 +95,7 @@
 			return err
 		}
 		if !listed {
-			return no{http.StatusNotFound, "no backend has this id"}
+			return errUnknownBackend
 		}
 		return nil
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -57,7 +57,7 @@
 	cfg           Config
 	loop          *loop
 	front         *frontend
-	console       *console // nil if none is wanted
+	console       *adminServer // nil if none is wanted
 	operatorState *operatorstate.Store
 	opened        chan struct{} // closed when all listeners are open
 	renews        chan string   // addresses of discovery that new configurations name
@@ -90,7 +90,7 @@
 	p := &Proxy{cfg: cfg, loop: l, operatorState: store, renews: make(chan string), opened: make(chan struct{}),
 		front: newFrontend(l, forClients, cfg.Log)}
 	if cfg.Console != "" {
-		p.console = newConsole(p, cfg.Log)
+		p.console = newAdminServer(p, cfg.Log)
 	}
 	l.setDetached(operators.Detached)
 	if cfg.Known != nil {
@@ -146,7 +146,7 @@
 	}
 	p.front.clients.Listener = listener
 	if p.console != nil {
-		if p.console.conns.Listener, err = net.Listen("tcp", p.cfg.Console); err != nil {
+		if p.console.connections.Listener, err = net.Listen("tcp", p.cfg.Console); err != nil {
 			listener.Close()
 			return fmt.Errorf("listen for operators: %w", err)
 		}
@@ -163,7 +163,7 @@
 func (p *Proxy) Addr() string { return p.front.clients.Addr().String() }
 
 // ConsoleAddr is where operators call.
-func (p *Proxy) ConsoleAddr() string { return p.console.conns.Addr().String() }
+func (p *Proxy) ConsoleAddr() string { return p.console.connections.Addr().String() }
 
 // Run serves until the context ends, then finishes what it has taken.
 func (p *Proxy) Run(ctx context.Context) error {
