--- a/internal/proxy/console_test.go
+++ b/internal/proxy/console_test.go
@@ -121,7 +121,7 @@
 		{"POST /_backends/detach", "nobody", 404},
 		{"POST /_backends/detach", "a b", 404},
 		{"POST /_backends/detach", "\x00\xff", 404},
-		{"POST /_backends/detach", strings.Repeat("a", maxCallBody+1), 413},
+		{"POST /_backends/detach", strings.Repeat("a", adminMaxBodyBytes+1), 413},
 		{"POST /_backends/attach", "nobody", 404},
 		{"POST /_backends/attach", "a", 200}, // it is in use: nothing to do
 		{"POST /_backends/detach", "a", 200},
@@ -147,11 +147,8 @@
 	if got := p.health(t); got != 200 {
 		t.Errorf("health is %d", got)
 	}
-	p.shared.mu.Lock() // another goroutine looks for news from other processes
-	st := p.shared.now
-	p.shared.mu.Unlock()
-	if len(st.Detached) != 0 || st.LameDuck {
-		t.Errorf("what operators said: %+v", st)
+	if state := p.operatorState.Current(); len(state.Detached) != 0 || state.LameDuck {
+		t.Errorf("what operators said: %+v", state)
 	}
 	for _, text := range []string{"what is this\r\n\r\n", "GET /_ready HTTP/1.1\r\n\r\n", // no Host
 		"POST /_backends/detach HTTP/1.1\r\nHost: h\r\nContent-Length: 99\r\n\r\na"} {
@@ -167,7 +164,7 @@
 // them are bounded.
 func TestSilentCallersDelayNobody(t *testing.T) {
 	p, _, _ := operated(t)
-	for i := range 4 * consoleConns {
+	for i := range 4 * adminMaxConnections {
 		c := dial(t, p.ConsoleAddr())
 		switch i % 3 {
 		case 1:
@@ -184,7 +181,7 @@
 		if took := time.Since(start); took > time.Second {
 			t.Errorf("answered after %v", took)
 		}
-		if n := p.console.conns.count(); n > consoleConns {
+		if n := p.console.connections.count(); n > adminMaxConnections {
 			t.Errorf("%d connections", n)
 		}
 	}
@@ -253,7 +250,7 @@
 	if got := operate(t, p, "POST /_backends/detach", "a"); got != 503 {
 		t.Errorf("with the loop held: got %d", got)
 	}
-	if took := time.Since(start); took < consoleWait {
+	if took := time.Since(start); took < adminOperationTimeout {
 		t.Errorf("after %v", took)
 	}
 	close(release)
@@ -415,9 +412,9 @@
 	operate(t, old, "POST /_lameduck/off", "")
 	waitUntil(t, func() bool { return !next.front.duck.Load() })
 	operate(t, next, "POST /_backends/detach", "b")
-	waitUntil(t, func() bool { return old.out("b") && old.out("a") && next.out("a") })
+	waitUntil(t, func() bool { return old.isDetached("b") && old.isDetached("a") && next.isDetached("a") })
 	operate(t, old, "POST /_backends/attach", "b")
-	waitUntil(t, func() bool { return !next.out("b") })
+	waitUntil(t, func() bool { return !next.isDetached("b") })
 	old.stop()
 	waitUntil(t, func() bool { return old.front.draining.Load() })
 	if got := old.Proxy.front.healthy(); !got {
@@ -437,10 +434,10 @@
 	}
 }
 
-// out tells whether the loop has taken a backend out.
-func (p *running) out(id string) bool {
+// isDetached tells whether the loop has detached a backend.
+func (p *running) isDetached(id string) bool {
 	got := make(chan bool, 1)
-	p.loop.post(func() { got <- p.loop.out[id] })
+	p.loop.post(func() { got <- p.loop.detached[id] })
 	return <-got
 }
 
@@ -553,8 +550,8 @@
 			if err := os.WriteFile(path, []byte(text), 0o600); err != nil { // while it runs
 				t.Fatal(err)
 			}
-			time.Sleep(2 * agreeEvery)
-			if !p.out("a") {
+			time.Sleep(2 * stateSyncInterval)
+			if !p.isDetached("a") {
 				t.Error("the ban is lost")
 			}
 		})
@@ -595,7 +592,7 @@
 	l.QuotaMultiplier, l.TierLimit = 0.5, 9
 	old.loop.post(func() { old.loop.bal.ImportState(l) })
 	waitUntil(t, func() bool {
-		got, ok, err := old.shared.learned()
+		got, ok, err := old.operatorState.LoadLearned()
 		return ok && err == nil && got.QuotaMultiplier == 0.5
 	})
 	next := startWithConsole(t, dir, old.Addr(), d.addr, entry)
