--- a/internal/emulator/hollow/discovery_test.go
+++ b/internal/emulator/hollow/discovery_test.go
@@ -41,8 +41,8 @@
 
 func newDiscoveryTest(t *testing.T, poll bool, known *discovery.List) *discoveryTest {
 	t.Helper()
-	service, err := registry.New(registry.Config{Ask: poll, Random: rand.New(rand.NewPCG(1, 1)),
-		Replicas: []registry.ReplicaConfig{{Name: "r", Zone: "z", Region: "region", CallsPerSecond: 100}}})
+	service, err := registry.New(registry.Config{Poll: poll, Random: rand.New(rand.NewPCG(1, 1)),
+		Replicas: []registry.ReplicaConfig{{Name: "r", Zone: "z", Region: "region", RequestRate: 100}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,11 +127,11 @@
 func TestKnownListServesUntilDiscoveryResponds(t *testing.T) {
 	known := &discovery.List{Index: 1, Snapshot: true, Endpoints: []discovery.Endpoint{backend("old", discovery.Serving)}}
 	runDiscoveryTest(t, known, func(d *discoveryTest) {
-		d.service.RefuseCalls(1)
+		d.service.RejectRequests(1)
 		d.publish(backend("new", discovery.Serving))
 		time.Sleep(10 * time.Second)
 		d.expectCalls(map[string]int{"old": 10})
-		d.service.RefuseCalls(0)
+		d.service.RejectRequests(0)
 		recovered := time.Now()
 		if took := (<-d.applied).Sub(recovered); took > 2500*time.Millisecond {
 			d.Errorf("the update was applied %v after the recovery", took)
--- a/internal/emulator/registry/capacity_test.go
+++ b/internal/emulator/registry/capacity_test.go
@@ -10,67 +10,66 @@
 	"baylock/internal/discovery"
 )
 
-// result is how one of several calls made at once went.
-type result struct {
-	call   int
-	status int
-	took   time.Duration
+// requestResult is the result of one of several concurrent requests.
+type requestResult struct {
+	request int
+	status  int
+	took    time.Duration
 }
 
-// callsAtOnce makes calls in turn at one moment and gives their results in the order of the answers.
-func callsAtOnce(t *testing.T, s *Service, number int, query string) []result {
+// concurrentRequests makes requests one after the other at one time, and returns their results in order of the responses.
+func concurrentRequests(t *testing.T, s *Service, number int, query string) []requestResult {
 	t.Helper()
-	c := newCaller(s.Dialer(list, inEast))
-	began, results := time.Now(), make(chan result, number)
+	c := newTestClient(s.Dialer(testList, eastClient))
+	began, results := time.Now(), make(chan requestResult, number)
 	for i := range number {
 		go func() {
 			status, _, err := c.get(t.Context(), discovery.MembersPath+query)
 			if err != nil {
 				t.Error(err)
 			}
-			results <- result{i, status, time.Since(began)}
+			results <- requestResult{i, status, time.Since(began)}
 		}()
 		synctest.Wait()
 	}
-	var out []result
+	var out []requestResult
 	for range number {
 		out = append(out, <-results)
 	}
 	return out
 }
 
-// Calls are answered in their order at the stated capacity, and those refused that would wait too long.
-func TestCapacity(t *testing.T) {
+// Queued requests are served in order at the capacity; those that would wait too long are rejected.
+func TestRequestsBeyondCapacityAreQueuedOrRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		config := oneReplica(true)
-		config.Replicas[0].CallsPerSecond, config.QueueLimit = 10, time.Second
-		s := start(t, config)
-		results := callsAtOnce(t, s, 20, "")
-		for i, r := range results[:9] { // the refused ones
-			if r.status != http.StatusServiceUnavailable || r.took != 0 || r.call != 11+i {
+		config := oneReplicaConfig(true)
+		config.Replicas[0].RequestRate, config.QueueLimit = 10, time.Second
+		s := startService(t, config)
+		results := concurrentRequests(t, s, 20, "")
+		for i, r := range results[:9] { // the rejected ones
+			if r.status != http.StatusServiceUnavailable || r.took != 0 || r.request != 11+i {
 				t.Errorf("answer %d: %+v", i, r)
 			}
 		}
 		for i, r := range results[9:] {
-			if want := time.Duration(i+1) * 100 * time.Millisecond; r.status != http.StatusOK || r.took != want || r.call != i {
+			if want := time.Duration(i+1) * 100 * time.Millisecond; r.status != http.StatusOK || r.took != want || r.request != i {
 				t.Errorf("answer %d: %+v, want after %v", 9+i, r, want)
 			}
 		}
 		u := s.Usage()[0]
-		if u.Name != "r1" || u.Calls != 20 || u.Refused != 9 || u.WholeLists != 11 || u.BusiestCalls != 20 {
+		if u.Name != "r1" || u.Requests != 20 || u.Rejected != 9 || u.Snapshots != 11 || u.PeakRequests != 20 {
 			t.Errorf("usage is %+v", u)
 		}
 	})
 }
 
-// A watch is one call: its wait keeps none back.
-func TestWatchesDoNotHoldTheQueue(t *testing.T) {
+func TestWaitingWatchUsesNoCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		config := oneReplica(true)
-		config.Replicas[0].CallsPerSecond = 10
-		s := start(t, config)
-		version := newCaller(s.Dialer(list, inEast)).ask(t, "").Index
-		results := callsAtOnce(t, s, 10, fromVersion(version, 5*time.Second))
+		config := oneReplicaConfig(true)
+		config.Replicas[0].RequestRate = 10
+		s := startService(t, config)
+		version := newTestClient(s.Dialer(testList, eastClient)).mustGet(t, "").Index
+		results := concurrentRequests(t, s, 10, watchQuery(version, 5*time.Second))
 		for i, r := range results {
 			want := 5*time.Second + time.Duration(i+1)*100*time.Millisecond
 			if r.status != http.StatusOK || r.took != want {
@@ -80,13 +79,12 @@
 	})
 }
 
-// Where the list is pushed, agents answer at once whatever the capacity.
-func TestAgentsHaveNoCapacity(t *testing.T) {
+func TestAgentRespondsWithoutCapacityLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		config := oneReplica(false)
-		config.Replicas[0].CallsPerSecond = 1
-		s := start(t, config)
-		for _, r := range callsAtOnce(t, s, 20, "") {
+		config := oneReplicaConfig(false)
+		config.Replicas[0].RequestRate = 1
+		s := startService(t, config)
+		for _, r := range concurrentRequests(t, s, 20, "") {
 			if r.status != http.StatusOK || r.took != 0 {
 				t.Errorf("%+v", r)
 			}
@@ -94,25 +92,25 @@
 	})
 }
 
-func TestRefuseAndDelayCalls(t *testing.T) {
-	inBothModes(t, func(t *testing.T, ask bool) {
-		s := start(t, oneReplica(ask))
-		s.RefuseCalls(0.25)
-		refused := 0
-		for _, r := range callsAtOnce(t, s, 400, "") {
+func TestRejectAndDelayRequests(t *testing.T) {
+	runInBothModes(t, func(t *testing.T, poll bool) {
+		s := startService(t, oneReplicaConfig(poll))
+		s.RejectRequests(0.25)
+		rejected := 0
+		for _, r := range concurrentRequests(t, s, 400, "") {
 			if r.status == http.StatusServiceUnavailable {
-				refused++
+				rejected++
 			}
 		}
-		if refused < 75 || refused > 125 {
-			t.Errorf("%d of 400 calls refused", refused)
+		if rejected < 75 || rejected > 125 {
+			t.Errorf("%d of 400 requests rejected", rejected)
 		}
-		if n := s.Usage()[0].Refused; n != int64(refused) {
-			t.Errorf("usage has %d refused, not %d", n, refused)
+		if n := s.Usage()[0].Rejected; n != int64(rejected) {
+			t.Errorf("usage has %d rejected, want %d", n, rejected)
 		}
-		s.RefuseCalls(0)
-		s.DelayCalls(300 * time.Millisecond)
-		for _, r := range callsAtOnce(t, s, 20, "") {
+		s.RejectRequests(0)
+		s.DelayRequests(300 * time.Millisecond)
+		for _, r := range concurrentRequests(t, s, 20, "") {
 			if r.status != http.StatusOK || r.took != 300*time.Millisecond {
 				t.Errorf("delayed: %+v", r)
 			}
@@ -120,32 +118,31 @@
 	})
 }
 
-// Usage is of the time since it was last asked for.
-func TestUsage(t *testing.T) {
-	inBothModes(t, func(t *testing.T, ask bool) {
-		s := start(t, testConfig(ask))
-		c := newCaller(s.Dialer(list, inEast))
-		for _, calls := range []int{2, 5, 1} {
-			after(time.Until(time.Unix(time.Now().Unix()+1, 0)))
-			for range calls {
-				c.ask(t, "")
+func TestUsageCountsSincePreviousCall(t *testing.T) {
+	runInBothModes(t, func(t *testing.T, poll bool) {
+		s := startService(t, testConfig(poll))
+		c := newTestClient(s.Dialer(testList, eastClient))
+		for _, requests := range []int{2, 5, 1} {
+			advance(time.Until(time.Unix(time.Now().Unix()+1, 0)))
+			for range requests {
+				c.mustGet(t, "")
 			}
 		}
-		synctest.Wait() // the last answer is counted once its write has returned
+		synctest.Wait() // the last response is counted once its write has returned
 		all := s.Usage()
 		u := all[0]
-		if u.Calls != 8 || u.BusiestCalls != 5 || u.WholeLists != 8 || u.Refused != 0 {
+		if u.Requests != 8 || u.PeakRequests != 5 || u.Snapshots != 8 || u.Rejected != 0 {
 			t.Errorf("usage is %+v", u)
 		}
-		perCall := (u.BytesIn + u.BytesOut) / 8
-		if u.BytesIn < 8*100 || u.BytesOut < 8*100 || u.BusiestBytes != 5*perCall {
+		perRequest := (u.BytesIn + u.BytesOut) / 8
+		if u.BytesIn < 8*100 || u.BytesOut < 8*100 || u.PeakBytes != 5*perRequest {
 			t.Errorf("bytes of usage are %+v", u)
 		}
 		again := slices.Concat(s.Usage(), all[1:])
 		for _, u := range again {
 			u.Name = ""
 			if u != (ReplicaUsage{}) {
-				t.Errorf("usage without calls is %+v", u)
+				t.Errorf("usage without requests is %+v", u)
 			}
 		}
 	})
--- a/internal/emulator/registry/conn.go
+++ b/internal/emulator/registry/conn.go
@@ -8,65 +8,64 @@
 	"time"
 )
 
-// client is one client of the service. Each has an address, or a dialer, of its own.
+// client is one client of the service, with an address or a dialer of its own.
 type client struct {
-	list    string
-	at      Location
-	follows *replica // where the list is pushed: the replica that the client's agent follows; may be nil
+	list     string
+	location Location
+	replica  *replica // where the list is pushed: the one that the client's agent follows; may be nil
 }
 
-// conn is a client's connection. It counts the bytes, and once silent it takes what the client sends and passes nothing
-// back.
+// conn is a client's connection. It counts its bytes. Once silent, it discards all that is written to the client.
 type conn struct {
 	net.Conn
-	service   *Service
-	client    *client
-	replica   *replica                // that answers it, where the list is asked for; nil: it came across a cut
-	countedBy atomic.Pointer[replica] // whose usage its bytes are
-	silent    atomic.Bool
-	ended     chan struct{}
-	end       sync.Once
+	service *Service
+	client  *client
+	replica *replica                // that serves it, where the list is polled; nil: a partition lies between
+	metered atomic.Pointer[replica] // to whose usage its bytes are added
+	silent  atomic.Bool
+	ended   chan struct{}
+	endOnce sync.Once
 
-	watching bool // a watch waits on it
+	watching bool // a watch waits for its response; guarded by Service.mu
 }
 
-// Read reads what the client sends.
+// Read reads from the client.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if r := c.countedBy.Load(); r != nil {
+	if r := c.metered.Load(); r != nil {
 		r.usage.addBytesIn(n)
 	}
 	return n, err
 }
 
-// Write sends to the client, unless the connection is silent.
+// Write writes to the client, unless the connection is silent.
 func (c *conn) Write(p []byte) (int, error) {
 	if c.silent.Load() {
 		return len(p), nil
 	}
 	n, err := c.Conn.Write(p)
-	if r := c.countedBy.Load(); r != nil {
+	if r := c.metered.Load(); r != nil {
 		r.usage.addBytesOut(n)
 	}
 	return n, err
 }
 
-// Close closes the connection and takes it off the service's list.
+// Close closes the connection and removes it from the service.
 func (c *conn) Close() error {
 	err := c.Conn.Close()
-	c.end.Do(func() {
+	c.endOnce.Do(func() {
 		close(c.ended)
 		c.service.forget(c)
 	})
 	return err
 }
 
-// reset closes the connection in such a way that the client is told of an error.
+// reset closes the connection with an error for the client: over TCP, a RST segment.
 func (c *conn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0) // fails only on a connection that has ended
 	}
-	_ = c.Close() // nothing is to be kept of it
+	_ = c.Close() // it is reset either way
 }
 
 func resetAll(conns []*conn) {
@@ -75,7 +74,7 @@
 	}
 }
 
-// sleep waits, and returns false if the connection ends first.
+// sleep waits; it returns false if the connection ends first.
 func (c *conn) sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -89,14 +88,15 @@
 	return false
 }
 
-// awaitEnd leaves a call without an answer until its connection ends.
-func (c *conn) awaitEnd(ctx context.Context) {
+// waitForEnd waits until the connection ends, so that its request gets no response.
+func (c *conn) waitForEnd(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-c.ended:
 	}
 }
 
+// connKey is the context key of a request's conn.
 type connKey struct{}
 
 func connContext(ctx context.Context, c net.Conn) context.Context {
--- a/internal/emulator/registry/faults.go
+++ b/internal/emulator/registry/faults.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// faults are those in force.
+// faults are the injected faults in force.
 type faults struct {
-	cutZones     map[string]bool
-	regionsApart bool
-	refused      float64 // part of the calls
-	delay        time.Duration
+	cutZones           map[string]bool
+	regionsPartitioned bool
+	rejectRatio        float64 // of all requests
+	delay              time.Duration
 }
 
-// Kill ends a replica. Its connections are reset, and its clients' next ones go to others.
+// Kill stops a replica. Its connections are reset, and its clients' next ones go to others.
 func (s *Service) Kill(name string) error {
 	s.mu.Lock()
 	r, err := s.find(name, true)
@@ -22,15 +22,15 @@
 		return err
 	}
 	r.live = false
-	s.topologyChanged()
-	lost := s.connsWhere(func(c *conn) bool { return c.replica == r && s.reaches(c.client.at, r) })
+	s.notifyTopologyChange()
+	lost := s.connsWhere(func(c *conn) bool { return c.replica == r && s.reaches(c.client.location, r) })
 	s.mu.Unlock()
 	resetAll(lost)
 	return nil
 }
 
-// Restart starts a replica that was killed. It has what it had stored and all that the peers have which it reaches, and
-// a new log.
+// Restart starts a replica that was killed, with a new log. It has its stored changes and those of the live replicas that
+// it reaches.
 func (s *Service) Restart(name string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,28 +44,42 @@
 			peers = append(peers, peer)
 		}
 	}
-	s.epoch++
-	r.start(s.epoch, peers)
-	s.topologyChanged()
+	s.lastEpoch++
+	r.start(s.lastEpoch, peers)
+	s.notifyTopologyChange()
 	s.synchronize()
 	return nil
 }
 
-// find gives the replica of a name if it is in the given state.
+// find returns the replica with the given name if it is in the given state.
 func (s *Service) find(name string, live bool) (*replica, error) {
 	for _, r := range s.replicas {
 		if r.Name != name {
 			continue
 		}
 		if r.live != live {
-			return nil, fmt.Errorf("replica %q is %s already", name, map[bool]string{true: "live", false: "down"}[r.live])
+			return nil, &replicaStateError{name: name, live: r.live}
 		}
 		return r, nil
 	}
-	return nil, fmt.Errorf("no replica %q", name)
+	return nil, fmt.Errorf("unknown replica %q", name)
 }
 
-// SilenceWatches leaves all watches that wait now without an answer for ever, and their connections silent.
+// replicaStateError reports a fault that needs a replica in the other state.
+type replicaStateError struct {
+	name string
+	live bool // the state that it is in
+}
+
+func (e *replicaStateError) Error() string {
+	state := "down"
+	if e.live {
+		state = "live"
+	}
+	return fmt.Sprintf("replica %q is already %s", e.name, state)
+}
+
+// SilenceWatches makes the connections of all present watches silent: they never get a response.
 func (s *Service) SilenceWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,71 +90,72 @@
 	}
 }
 
-// RefuseCalls has a part of all calls refused, from now on; 0 ends it.
-func (s *Service) RefuseCalls(part float64) {
+// RejectRequests rejects the given part of all requests from now on; 0 ends it.
+func (s *Service) RejectRequests(ratio float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.faults.refused = part
+	s.faults.rejectRatio = ratio
 }
 
-// DelayCalls has every call wait before it is looked at, from now on; 0 ends it.
-func (s *Service) DelayCalls(d time.Duration) {
+// DelayRequests delays every request before it is handled, from now on; 0 ends it.
+func (s *Service) DelayRequests(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.delay = d
 }
 
-// CutZone cuts a zone off: its clients reach no replica and its replicas reach none in other zones. Open connections
-// across the cut stay silent for good, and new ones are silent until HealZone, which resets them.
+// CutZone isolates a zone: its clients reach no replica, and its replicas reach none in other zones. Open connections
+// across the cut are silent for good, and new ones are silent until HealZone, which resets them.
 func (s *Service) CutZone(zone string) {
-	s.setLinks(func() { s.faults.cutZones[zone] = true })
+	s.changeLinks(func() { s.faults.cutZones[zone] = true })
 }
 
 // HealZone ends CutZone.
 func (s *Service) HealZone(zone string) {
-	s.setLinks(func() { delete(s.faults.cutZones, zone) })
+	s.changeLinks(func() { delete(s.faults.cutZones, zone) })
 }
 
-// CutRegions parts the regions from each other.
+// CutRegions partitions the network between the regions.
 func (s *Service) CutRegions() {
-	s.setLinks(func() { s.faults.regionsApart = true })
+	s.changeLinks(func() { s.faults.regionsPartitioned = true })
 }
 
 // HealRegions ends CutRegions.
 func (s *Service) HealRegions() {
-	s.setLinks(func() { s.faults.regionsApart = false })
+	s.changeLinks(func() { s.faults.regionsPartitioned = false })
 }
 
-// setLinks changes what reaches what.
-func (s *Service) setLinks(change func()) {
+// changeLinks changes which parts of the network reach each other.
+func (s *Service) changeLinks(change func()) {
 	s.mu.Lock()
 	change()
-	s.topologyChanged()
+	s.notifyTopologyChange()
 	s.synchronize()
 	for _, c := range s.conns {
-		if c.replica != nil && !s.reaches(c.client.at, c.replica) {
+		if c.replica != nil && !s.reaches(c.client.location, c.replica) {
 			c.silent.Store(true)
 		}
 	}
-	waited := s.connsWhere(func(c *conn) bool {
-		return s.config.Ask && c.replica == nil && s.nearest(c.client.at) != nil
+	waiting := s.connsWhere(func(c *conn) bool {
+		return s.config.Poll && c.replica == nil && s.nearest(c.client.location) != nil
 	})
 	s.mu.Unlock()
-	resetAll(waited)
+	resetAll(waiting)
 }
 
-func (s *Service) connsWhere(which func(*conn) bool) []*conn {
+// connsWhere returns the connections for which the condition holds.
+func (s *Service) connsWhere(holds func(*conn) bool) []*conn {
 	var found []*conn
 	for _, c := range s.conns {
-		if which(c) {
+		if holds(c) {
 			found = append(found, c)
 		}
 	}
 	return found
 }
 
-// topologyChanged has every call that waits look again at which replica answers it.
-func (s *Service) topologyChanged() {
-	close(s.topology)
-	s.topology = make(chan struct{})
+// notifyTopologyChange makes every pending request look again for the replica that serves it.
+func (s *Service) notifyTopologyChange() {
+	close(s.topologyChanged)
+	s.topologyChanged = make(chan struct{})
 }
--- a/internal/emulator/registry/faults_test.go
+++ b/internal/emulator/registry/faults_test.go
@@ -16,20 +16,20 @@
 	"baylock/internal/discovery"
 )
 
-// told is how long after the service has a change every client that it reaches has to have it.
-const told = 6 * time.Second
+// updateDeadline is the time within which every client that the service reaches gets a change.
+const updateDeadline = 6 * time.Second
 
 func watchEverywhere(t *testing.T, s *Service) []*watcher {
 	t.Helper()
 	var watchers []*watcher
-	for _, at := range oneInEachZone() {
-		watchers = append(watchers, watch(t, s, list, at))
-		synctest.Wait() // so that they come in this order
+	for _, at := range clientsOfAllZones() {
+		watchers = append(watchers, watch(t, s, testList, at))
+		synctest.Wait() // so that they connect in this order
 	}
 	return watchers
 }
 
-// loads gives the number of connections, or of agents, at each replica.
+// loads returns the number of connections, or of agents, at each replica.
 func loads(s *Service) []int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,158 +40,156 @@
 	return out
 }
 
-// Clients go to a replica of their zone, then of their region, the less loaded one first, and then to the others.
-func TestNearestReplica(t *testing.T) {
-	inBothModes(t, func(t *testing.T, ask bool) {
-		s := start(t, testConfig(ask))
+// Nearest is a replica of their zone, else of their region, else any other, and of these the least loaded.
+func TestClientsUseNearestReplica(t *testing.T) {
+	runInBothModes(t, func(t *testing.T, poll bool) {
+		s := startService(t, testConfig(poll))
 		watchEverywhere(t, s)
 		if got := loads(s); !slices.Equal(got, []int{2, 1, 1, 1}) {
 			t.Errorf("loads %v", got)
 		}
-		watch(t, s, list, Location{Name: "second-in-c", Zone: "c", Region: "east"})
+		watch(t, s, testList, Location{Name: "second-in-c", Zone: "c", Region: "east"})
 		synctest.Wait()
 		if got := loads(s); !slices.Equal(got, []int{2, 2, 1, 1}) {
 			t.Errorf("loads with one more: %v", got)
 		}
-		watch(t, s, list, Location{Name: "second-in-d", Zone: "d", Region: "west"})
-		watch(t, s, list, Location{Name: "third-in-d", Zone: "d", Region: "west"})
+		watch(t, s, testList, Location{Name: "second-in-d", Zone: "d", Region: "west"})
+		watch(t, s, testList, Location{Name: "third-in-d", Zone: "d", Region: "west"})
 		synctest.Wait()
 		if got := loads(s); !slices.Equal(got, []int{2, 2, 3, 1}) {
 			t.Errorf("loads with two more in a zone: %v", got)
 		}
-		do(t, s.Kill("r1"))
-		after(told)
+		must(t, s.Kill("r1"))
+		advance(updateDeadline)
 		if got := loads(s); !slices.Equal(got, []int{0, 4, 3, 1}) {
 			t.Errorf("loads without r1: %v", got)
 		}
-		do(t, s.Kill("r2"))
-		after(told)
+		must(t, s.Kill("r2"))
+		advance(updateDeadline)
 		if got := loads(s); !slices.Equal(got, []int{0, 0, 4, 4}) {
 			t.Errorf("loads without r1 and r2: %v", got)
 		}
 	})
 }
 
-// A change that comes when a replica has just died reaches the clients that it had.
-func TestKilledReplica(t *testing.T) {
-	inBothModes(t, func(t *testing.T, ask bool) {
-		s := start(t, testConfig(ask))
+// This includes a change that is published right after the kill.
+func TestKilledReplicaClientsGetChangesFromOthers(t *testing.T) {
+	runInBothModes(t, func(t *testing.T, poll bool) {
+		s := startService(t, testConfig(poll))
 		watchers := watchEverywhere(t, s)
 		publish(t, s, "east", serving("s-1"))
-		do(t, s.Kill("r1"))
+		must(t, s.Kill("r1"))
 		publish(t, s, "east", serving("s-2"))
-		after(time.Second)
-		do(t, s.Kill("r2"))
-		do(t, s.Restart("r1"))
+		advance(time.Second)
+		must(t, s.Kill("r2"))
+		must(t, s.Restart("r1"))
 		publish(t, s, "east", serving("s-3"))
-		after(time.Second)
+		advance(time.Second)
 		for i, w := range watchers {
 			if !w.has("s-1") || !w.has("s-2") || !w.has("s-3") {
-				t.Errorf("watcher %d has %v", i, slices.Sorted(maps.Keys(w.list())))
+				t.Errorf("watcher %d has %v", i, slices.Sorted(maps.Keys(w.snapshot())))
 			}
 		}
 	})
 }
 
-// A replica that starts again has all that its peers have before it answers anyone.
-func TestRestartedReplicaHasTheList(t *testing.T) {
-	inBothModes(t, func(t *testing.T, ask bool) {
-		s := start(t, testConfig(ask))
-		do(t, s.Kill("r1"))
+// It has them before it serves its first request.
+func TestRestartedReplicaHasChangesOfPeers(t *testing.T) {
+	runInBothModes(t, func(t *testing.T, poll bool) {
+		s := startService(t, testConfig(poll))
+		must(t, s.Kill("r1"))
 		publish(t, s, "west", serving("s-1"))
-		after(replication + moment)
-		do(t, s.Restart("r1"))
-		if l := newCaller(s.Dialer(list, inEast)).ask(t, ""); len(l.Endpoints) != 1 {
-			t.Errorf("it tells %s", toJSON(t, l))
+		advance(replication + epsilon)
+		must(t, s.Restart("r1"))
+		if l := newTestClient(s.Dialer(testList, eastClient)).mustGet(t, ""); len(l.Endpoints) != 1 {
+			t.Errorf("it responds %s", toJSON(t, l))
 		}
-		if got := s.Usage()[0].Calls; got != 1 {
-			t.Errorf("it has answered %d calls", got)
+		if got := s.Usage()[0].Requests; got != 1 {
+			t.Errorf("it has served %d requests", got)
 		}
 	})
 }
 
-// A change that arrives when its replica has it already, from a peer, does not bring back what was deleted since.
-func TestChangeThatArrivesTwice(t *testing.T) {
+// The replica has the changes from its peer at its restart, and then receives them again.
+func TestChangeDeliveredTwiceKeepsDeletion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		config := testConfig(true)
 		config.Replicas = config.Replicas[:2]
-		s := start(t, config)
-		do(t, s.Kill("r2"))
+		s := startService(t, config)
+		must(t, s.Kill("r2"))
 		publish(t, s, "east", serving("s-1"))
 		publish(t, s, "east", serving("s-2"))
 		publish(t, s, "east", deleted("s-2"))
-		do(t, s.Restart("r2"))
-		after(replication + moment)
+		must(t, s.Restart("r2"))
+		advance(replication + epsilon)
 		for _, r := range s.replicas {
-			if got := r.list(list).records; len(got) != 1 {
+			if got := r.list(testList).records; len(got) != 1 {
 				t.Errorf("%s has %v", r.Name, got)
 			}
 		}
 	})
 }
 
-func TestFaultsOfUnknownReplicas(t *testing.T) {
+func TestKillAndRestartInWrongStateGiveError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := start(t, testConfig(true))
+		s := startService(t, testConfig(true))
 		for name, err := range map[string]error{"kill unknown": s.Kill("r9"), "restart unknown": s.Restart("r9"),
 			"restart live": s.Restart("r1")} {
 			if err == nil {
 				t.Errorf("%s: no error", name)
 			}
 		}
-		do(t, s.Kill("r1"))
+		must(t, s.Kill("r1"))
 		if s.Kill("r1") == nil {
-			t.Error("killed twice")
+			t.Error("kill down: no error")
 		}
 	})
 }
 
-// Nothing but its time limit tells a client of a silent watch.
-func TestSilentWatches(t *testing.T) {
-	inBothModes(t, func(t *testing.T, ask bool) {
-		s := start(t, testConfig(ask))
-		c := newCaller(s.Dialer(list, inEast))
-		version := c.ask(t, "").Index
+func TestSilencedWatchEndsAtTimeout(t *testing.T) {
+	runInBothModes(t, func(t *testing.T, poll bool) {
+		s := startService(t, testConfig(poll))
+		c := newTestClient(s.Dialer(testList, eastClient))
+		version := c.mustGet(t, "").Index
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Minute)
 		defer cancel()
 		silent := make(chan error, 1)
 		go func() {
-			_, _, err := c.get(ctx, discovery.MembersPath+fromVersion(version, time.Second))
+			_, _, err := c.get(ctx, discovery.MembersPath+watchQuery(version, time.Second))
 			silent <- err
 		}()
 		watchers := watchEverywhere(t, s)
 		s.SilenceWatches()
 		publish(t, s, "west", serving("s-1"))
-		after(200 * time.Millisecond)
+		advance(200 * time.Millisecond)
 		for i, w := range watchers {
 			if w.has("s-1") {
-				t.Errorf("watcher %d was told", i)
+				t.Errorf("watcher %d got the change", i)
 			}
 		}
-		after(told)
+		advance(updateDeadline)
 		for i, w := range watchers {
 			if !w.has("s-1") {
-				t.Errorf("watcher %d was not told in the end", i)
+				t.Errorf("watcher %d did not get the change in the end", i)
 			}
 		}
 		if err := <-silent; !errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("a silent watch ended with %v", err)
+			t.Errorf("the silenced watch ended with %v", err)
 		}
-		if l := c.ask(t, ""); len(l.Endpoints) != 1 {
-			t.Errorf("a new connection is told %s", toJSON(t, l))
+		if l := c.mustGet(t, ""); len(l.Endpoints) != 1 {
+			t.Errorf("a new connection got %s", toJSON(t, l))
 		}
 	})
 }
 
-// A connection whose watch has been answered is not silenced with those whose watches wait.
-func TestSilenceSparesIdleConnections(t *testing.T) {
-	inBothModes(t, func(t *testing.T, ask bool) {
-		s := start(t, oneReplica(ask))
-		c := newCaller(s.Dialer(list, inEast))
+func TestSilenceWatchesSparesIdleConnections(t *testing.T) {
+	runInBothModes(t, func(t *testing.T, poll bool) {
+		s := startService(t, oneReplicaConfig(poll))
+		c := newTestClient(s.Dialer(testList, eastClient))
 		c.transport.DisableKeepAlives = false
 		defer c.transport.CloseIdleConnections()
-		version := c.ask(t, "").Index
-		c.ask(t, fromVersion(version, time.Second))
+		version := c.mustGet(t, "").Index
+		c.mustGet(t, watchQuery(version, time.Second))
 		synctest.Wait()
 		s.SilenceWatches()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -200,85 +198,85 @@
 			t.Errorf("status %d, error %v", status, err)
 		}
 		if n := len(s.conns); n != 1 {
-			t.Errorf("%d connections were used", n)
+			t.Errorf("%d connections, want 1", n)
 		}
 	})
 }
 
-// A zone that is cut off hears nothing of the others, nor they of its replica's, until it is healed.
-func TestCutZone(t *testing.T) {
-	inBothModes(t, func(t *testing.T, ask bool) {
-		s := start(t, testConfig(ask))
+// No change passes the cut in either direction until it is healed.
+func TestCutZoneIsolatesClientsAndReplicas(t *testing.T) {
+	runInBothModes(t, func(t *testing.T, poll bool) {
+		s := startService(t, testConfig(poll))
 		watchers := watchEverywhere(t, s)
 		s.CutZone("a")
 		publish(t, s, "east", serving("s-1"))
-		after(told)
+		advance(updateDeadline)
 		for i, w := range watchers {
 			if inZone := i == 0; w.has("s-1") == inZone {
-				t.Errorf("watcher %d told: %t", i, w.has("s-1"))
+				t.Errorf("watcher %d has the change: %t", i, w.has("s-1"))
 			}
 		}
-		if got := s.replicas[0].list(list).records; len(got) != 0 {
+		if got := s.replicas[0].list(testList).records; len(got) != 0 {
 			t.Errorf("the replica in the zone has %v", got)
 		}
 		s.HealZone("a")
-		after(told)
+		advance(updateDeadline)
 		if !watchers[0].has("s-1") {
-			t.Error("the zone was not told in the end")
+			t.Error("the zone did not get the change in the end")
 		}
 	})
 }
 
-// A connection from a zone that is cut off comes up, stays silent, and is reset once the zone is back.
-func TestConnectionFromCutZone(t *testing.T) {
+// Until then it is silent.
+func TestConnectionFromCutZoneIsResetAfterHeal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := start(t, testConfig(true))
+		s := startService(t, testConfig(true))
 		s.CutZone("a")
 		s.CutZone("b")
 		ended := make(chan error, 1)
 		go func() {
-			_, _, err := newCaller(s.Dialer(list, inEast)).get(t.Context(), discovery.MembersPath)
+			_, _, err := newTestClient(s.Dialer(testList, eastClient)).get(t.Context(), discovery.MembersPath)
 			ended <- err
 		}()
-		after(time.Hour)
+		advance(time.Hour)
 		s.HealZone("b")
-		after(time.Hour)
+		advance(time.Hour)
 		select {
 		case err := <-ended:
-			t.Fatalf("ended in the cut with %v", err)
+			t.Fatalf("ended during the cut with %v", err)
 		default:
 		}
 		s.HealZone("a")
 		if err := <-ended; err == nil {
-			t.Error("answered after the cut")
+			t.Error("got a response after the cut")
 		}
 	})
 }
 
-// While the regions are apart each goes on with its own changes; then both have them all, the later one of two that
-// concern one endpoint.
-func TestRegionsApart(t *testing.T) {
-	inBothModes(t, func(t *testing.T, ask bool) {
-		s := start(t, testConfig(ask))
+// During the partition each region has its own changes; afterwards both have all, and of two changes of one endpoint the
+// later.
+func TestPartitionedRegionsConvergeAfterHeal(t *testing.T) {
+	runInBothModes(t, func(t *testing.T, poll bool) {
+		s := startService(t, testConfig(poll))
 		watchers := watchEverywhere(t, s)
 		publish(t, s, "east", serving("both"), serving("gone"))
-		after(told)
+		advance(updateDeadline)
 		s.CutRegions()
 		east, west := serving("both"), serving("both")
 		east.Zone, west.Zone = "east", "west"
 		publish(t, s, "west", west, serving("s-west"))
 		publish(t, s, "east", east, serving("s-east"), deleted("gone"))
-		after(told)
+		advance(updateDeadline)
 		for i, w := range watchers {
 			inEast := i < 3
 			if w.has("s-east") != inEast || w.has("s-west") == inEast || w.has("gone") == inEast {
-				t.Errorf("watcher %d, apart, has %v", i, slices.Sorted(maps.Keys(w.list())))
+				t.Errorf("watcher %d has %v during the partition", i, slices.Sorted(maps.Keys(w.snapshot())))
 			}
 		}
 		s.HealRegions()
-		after(told)
+		advance(updateDeadline)
 		for i, w := range watchers {
-			have := w.list()
+			have := w.snapshot()
 			if names := slices.Sorted(maps.Keys(have)); !slices.Equal(names, []string{"both", "s-east", "s-west"}) ||
 				have["both"].Zone != "east" {
 				t.Errorf("watcher %d has %v", i, have)
@@ -287,22 +285,22 @@
 	})
 }
 
-// An agent is silent while the service is down, and then answers the watches whose wait is not over.
-func TestAgentWhileServiceIsDown(t *testing.T) {
+// Afterwards it responds to the watches whose hold time has not expired.
+func TestAgentIsSilentWhileServiceIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := start(t, oneReplica(false))
-		c := newCaller(s.Dialer(list, inEast))
-		version := c.ask(t, "").Index
+		s := startService(t, oneReplicaConfig(false))
+		c := newTestClient(s.Dialer(testList, eastClient))
+		version := c.mustGet(t, "").Index
 		type outcome struct {
 			list *discovery.List
 			err  error
 			at   time.Time
 		}
-		outcomes := map[string]chan outcome{"whole": nil, "short": nil, "long": nil}
-		queries := map[string]string{"whole": "", "short": fromVersion(version, 2*time.Second),
-			"long": fromVersion(version, 20*time.Second)}
-		do(t, s.Kill("r1"))
-		s.RefuseCalls(1) // and it does not even refuse
+		outcomes := map[string]chan outcome{"snapshot": nil, "short": nil, "long": nil}
+		queries := map[string]string{"snapshot": "", "short": watchQuery(version, 2*time.Second),
+			"long": watchQuery(version, 20*time.Second)}
+		must(t, s.Kill("r1"))
+		s.RejectRequests(1) // a silent agent rejects nothing
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Minute)
 		defer cancel()
 		for name := range outcomes {
@@ -313,122 +311,122 @@
 				done <- outcome{l, err, time.Now()}
 			}()
 		}
-		after(10 * time.Second)
-		do(t, s.Restart("r1"))
+		advance(10 * time.Second)
+		must(t, s.Restart("r1"))
 		back := time.Now()
 		if got := <-outcomes["long"]; got.err != nil || got.at != back || !got.list.Snapshot {
 			t.Errorf("the long watch: %v, %v after the restart", got.err, got.at.Sub(back))
 		}
-		for _, name := range []string{"whole", "short"} {
+		for _, name := range []string{"snapshot", "short"} {
 			if got := <-outcomes[name]; !errors.Is(got.err, context.DeadlineExceeded) {
-				t.Errorf("the %s call ended with %v", name, got.err)
+				t.Errorf("the %s request ended with %v", name, got.err)
 			}
 		}
 	})
 }
 
-// An agent whose replica was away for a moment within a watch's wait answers it as usual.
-func TestAgentAfterShortCut(t *testing.T) {
+// The cut begins and ends within the hold time of a watch.
+func TestAgentRespondsAsUsualAfterShortCut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := start(t, oneReplica(false))
-		c := newCaller(s.Dialer(list, inEast))
-		version := c.ask(t, "").Index
+		s := startService(t, oneReplicaConfig(false))
+		c := newTestClient(s.Dialer(testList, eastClient))
+		version := c.mustGet(t, "").Index
 		time.AfterFunc(time.Second, func() { s.CutZone("a") })
 		time.AfterFunc(2*time.Second, func() { s.HealZone("a") })
 		began := time.Now()
-		if l := c.ask(t, fromVersion(version, 5*time.Second)); l.Snapshot || time.Since(began) != 5*time.Second {
+		if l := c.mustGet(t, watchQuery(version, 5*time.Second)); l.Snapshot || time.Since(began) != 5*time.Second {
 			t.Errorf("%s after %v", toJSON(t, l), time.Since(began))
 		}
 	})
 }
 
-// A shared service whose replicas are all down refuses connections.
-func TestSharedServiceDown(t *testing.T) {
+func TestPolledServiceDownRefusesConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := start(t, oneReplica(true))
-		c := newCaller(s.Dialer(list, inEast))
-		do(t, s.Kill("r1"))
+		s := startService(t, oneReplicaConfig(true))
+		c := newTestClient(s.Dialer(testList, eastClient))
+		must(t, s.Kill("r1"))
 		if _, _, err := c.get(t.Context(), discovery.MembersPath); !errors.Is(err, syscall.ECONNREFUSED) {
 			t.Errorf("error is %v", err)
 		}
-		do(t, s.Restart("r1"))
+		must(t, s.Restart("r1"))
 		if status, _, err := c.get(t.Context(), discovery.MembersPath); status != http.StatusOK {
 			t.Errorf("after the restart: status %d, error %v", status, err)
 		}
 	})
 }
 
-// What one replica alone had accepted outlives its end.
-func TestAcceptedChangeOutlivesItsReplica(t *testing.T) {
+// One replica alone has the change when it is killed.
+func TestAcceptedChangeSurvivesRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		config := testConfig(true)
 		config.Replicas = []ReplicaConfig{{Name: "r1", Zone: "a", Region: "east"}, {Name: "r2", Zone: "d", Region: "west"}}
-		s := start(t, config)
+		s := startService(t, config)
 		s.CutRegions()
 		publish(t, s, "east", serving("s-1"))
-		do(t, s.Kill("r1"))
-		after(time.Hour)
+		must(t, s.Kill("r1"))
+		advance(time.Hour)
 		s.HealRegions()
-		after(time.Hour)
-		c := newCaller(s.Dialer(list, Location{Zone: "d", Region: "west"}))
-		if l := c.ask(t, ""); len(l.Endpoints) != 0 {
+		advance(time.Hour)
+		c := newTestClient(s.Dialer(testList, Location{Zone: "d", Region: "west"}))
+		if l := c.mustGet(t, ""); len(l.Endpoints) != 0 {
 			t.Errorf("the other replica has %s", toJSON(t, l))
 		}
-		do(t, s.Restart("r1"))
-		after(replication + moment)
-		if l := c.ask(t, ""); len(l.Endpoints) != 1 {
+		must(t, s.Restart("r1"))
+		advance(replication + epsilon)
+		if l := c.mustGet(t, ""); len(l.Endpoints) != 1 {
 			t.Errorf("the other replica has %s after the restart", toJSON(t, l))
 		}
 	})
 }
 
-// Whatever fails, once all is well again every client has put together the list that the accepted changes make.
+// Once all faults have ended, every client and replica has the list of all accepted changes.
 func TestListsConvergeAfterRandomFaults(t *testing.T) {
-	inBothModes(t, func(t *testing.T, ask bool) {
+	runInBothModes(t, func(t *testing.T, poll bool) {
 		for seed := range uint64(8) {
-			runRandomFaults(t, ask, seed)
+			runRandomFaults(t, poll, seed)
 		}
 	})
 }
 
-func runRandomFaults(t *testing.T, ask bool, seed uint64) {
+func runRandomFaults(t *testing.T, poll bool, seed uint64) {
+	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 0))
-	config := testConfig(ask)
+	config := testConfig(poll)
 	config.LogLimit = 8
-	s := start(t, config)
+	s := startService(t, config)
 	watchers := watchEverywhere(t, s)
-	want := members{}
+	want := memberSet{}
 	for range 200 {
-		strike(s, random)
+		injectRandomFault(s, random)
 		region := []string{"east", "west"}[random.IntN(2)]
 		change := serving("s-" + strconv.Itoa(random.IntN(20)))
 		change.SinceMs = random.Int64N(1000)
 		if random.IntN(3) == 0 {
 			change.Status = discovery.Deleted
 		}
-		if _, err := s.Publish(list, region, change); err == nil {
-			want.take(&discovery.List{Endpoints: []discovery.Endpoint{change}})
+		if _, err := s.Publish(testList, region, change); err == nil {
+			want.apply(&discovery.List{Endpoints: []discovery.Endpoint{change}})
 		} else if !errors.Is(err, ErrNoReplica) {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Duration(random.Int64N(int64(2 * replication))))
 	}
-	mend(s)
-	after(2 * told)
+	healAll(s)
+	advance(2 * updateDeadline)
 	for i, w := range watchers {
-		if got := w.list(); !maps.Equal(got, want) {
+		if got := w.snapshot(); !maps.Equal(got, want) {
 			t.Errorf("seed %d: watcher %d has\n%v, want\n%v", seed, i, got, want)
 		}
 	}
 	for _, r := range s.replicas {
-		if l := r.list(list); len(l.records) != len(want) || l.complete() != s.number {
-			t.Errorf("seed %d: %s has %d records, complete to %d of %d", seed, r.Name, len(l.records), l.complete(), s.number)
+		if l := r.list(testList); len(l.records) != len(want) || l.complete() != s.lastChange {
+			t.Errorf("seed %d: %s has %d records, complete to %d of %d", seed, r.Name, len(l.records), l.complete(), s.lastChange)
 		}
 	}
 }
 
-// strike draws a fault, or the end of one.
-func strike(s *Service, random *rand.Rand) {
+// injectRandomFault begins or ends a random fault.
+func injectRandomFault(s *Service, random *rand.Rand) {
 	replica := s.replicas[random.IntN(len(s.replicas))].Name
 	zone := []string{"a", "b", "c", "d", "e"}[random.IntN(5)]
 	switch random.IntN(16) {
@@ -447,16 +445,17 @@
 	case 8:
 		s.SilenceWatches()
 	case 9:
-		s.RefuseCalls(random.Float64())
+		s.RejectRequests(random.Float64())
 	case 10:
-		s.DelayCalls(time.Duration(random.Int64N(int64(200 * time.Millisecond))))
+		s.DelayRequests(time.Duration(random.Int64N(int64(200 * time.Millisecond))))
 	case 11:
-		s.RefuseCalls(0)
-		s.DelayCalls(0)
+		s.RejectRequests(0)
+		s.DelayRequests(0)
 	}
 }
 
-func mend(s *Service) {
+// healAll ends all faults.
+func healAll(s *Service) {
 	for _, r := range s.replicas {
 		_ = s.Restart(r.Name) // most are live
 	}
@@ -464,6 +463,6 @@
 		s.HealZone(zone)
 	}
 	s.HealRegions()
-	s.RefuseCalls(0)
-	s.DelayCalls(0)
+	s.RejectRequests(0)
+	s.DelayRequests(0)
 }
--- a/internal/emulator/registry/handler_test.go
+++ b/internal/emulator/registry/handler_test.go
@@ -12,27 +12,27 @@
 	"baylock/internal/discovery"
 )
 
-var inEast = Location{Name: "in-a", Zone: "a", Region: "east"}
+var eastClient = Location{Name: "in-a", Zone: "a", Region: "east"}
 
-// oneReplica is the service with r1 only.
-func oneReplica(ask bool) Config {
-	config := testConfig(ask)
+// oneReplicaConfig configures a service with r1 alone.
+func oneReplicaConfig(poll bool) Config {
+	config := testConfig(poll)
 	config.Replicas = config.Replicas[:1]
 	return config
 }
 
-func TestWholeListWithoutQuery(t *testing.T) {
-	inBothModes(t, func(t *testing.T, ask bool) {
-		s := start(t, oneReplica(ask))
-		c := newCaller(s.Dialer(list, inEast))
-		if l := c.ask(t, ""); !l.Snapshot || len(l.Endpoints) != 0 {
+func TestRequestWithoutVersionGetsSnapshot(t *testing.T) {
+	runInBothModes(t, func(t *testing.T, poll bool) {
+		s := startService(t, oneReplicaConfig(poll))
+		c := newTestClient(s.Dialer(testList, eastClient))
+		if l := c.mustGet(t, ""); !l.Snapshot || len(l.Endpoints) != 0 {
 			t.Errorf("before any change: %s", toJSON(t, l))
 		}
 		weight := 1.5
 		second := serving("s-2")
 		second.Weight, second.Group, second.SinceMs, second.Status = &weight, 3, 17, discovery.Draining
 		publish(t, s, "east", second, serving("s-1"))
-		l := c.ask(t, "")
+		l := c.mustGet(t, "")
 		want := `[{"name":"s-1","address":"10.0.0.1:80","zone":"a","group":0,"status":"SERVING","since_ms":0},` +
 			`{"name":"s-2","address":"10.0.0.1:80","zone":"a","group":3,"status":"DRAINING","weight":1.5,"since_ms":17}]`
 		if got := toJSON(t, l.Endpoints); !l.Snapshot || got != want {
@@ -41,137 +41,134 @@
 	})
 }
 
-// A watch is answered with what has changed since its version, each endpoint once and as it is now.
-func TestChangesSinceVersion(t *testing.T) {
-	inBothModes(t, func(t *testing.T, ask bool) {
-		s := start(t, oneReplica(ask))
-		c := newCaller(s.Dialer(list, inEast))
+// Each changed endpoint is in the response once, as it is now.
+func TestWatchGetsChangesSinceVersion(t *testing.T) {
+	runInBothModes(t, func(t *testing.T, poll bool) {
+		s := startService(t, oneReplicaConfig(poll))
+		c := newTestClient(s.Dialer(testList, eastClient))
 		publish(t, s, "east", serving("s-1"), serving("s-2"), serving("s-3"))
-		version := c.ask(t, "").Index
+		version := c.mustGet(t, "").Index
 		draining := serving("s-1")
 		draining.Status = discovery.Draining
 		publish(t, s, "east", draining)
 		publish(t, s, "east", deleted("s-2"))
 		publish(t, s, "east", deleted("s-1"))
-		after(replication + moment) // and what is deleted has been forgotten
+		advance(replication + epsilon) // until the tombstones are dropped
 
-		l := c.ask(t, fromVersion(version, time.Second))
+		l := c.mustGet(t, watchQuery(version, time.Second))
 		want := toJSON(t, []discovery.Endpoint{deleted("s-1"), deleted("s-2")})
 		if got := toJSON(t, l.Endpoints); l.Snapshot || got != want || l.Index <= version {
 			t.Errorf("after version %d: %s, want endpoints %s", version, toJSON(t, l), want)
 		}
-		if whole := c.ask(t, ""); len(whole.Endpoints) != 1 || whole.Index != l.Index {
-			t.Errorf("whole list is %s", toJSON(t, whole))
+		if snapshot := c.mustGet(t, ""); len(snapshot.Endpoints) != 1 || snapshot.Index != l.Index {
+			t.Errorf("the snapshot is %s", toJSON(t, snapshot))
 		}
 	})
 }
 
-// A watch waits for news, is released by it at once, and otherwise is answered with none after its wait.
-func TestWatchWaits(t *testing.T) {
-	inBothModes(t, func(t *testing.T, ask bool) {
-		s := start(t, oneReplica(ask))
-		c := newCaller(s.Dialer(list, inEast))
-		version := c.ask(t, "").Index
+func TestWatchRespondsToChangeOrAfterHold(t *testing.T) {
+	runInBothModes(t, func(t *testing.T, poll bool) {
+		s := startService(t, oneReplicaConfig(poll))
+		c := newTestClient(s.Dialer(testList, eastClient))
+		version := c.mustGet(t, "").Index
 		for _, x := range []struct {
 			hold, want time.Duration
 		}{{0, 0}, {1500 * time.Millisecond, 1500 * time.Millisecond}, {61 * time.Second, 60 * time.Second}} {
 			began := time.Now()
-			l := c.ask(t, fromVersion(version, x.hold))
+			l := c.mustGet(t, watchQuery(version, x.hold))
 			if took := time.Since(began); took != x.want || l.Snapshot || len(l.Endpoints) > 0 || l.Index != version {
 				t.Errorf("hold %v: %s after %v", x.hold, toJSON(t, l), took)
 			}
 		}
 		time.AfterFunc(700*time.Millisecond, func() {
-			if _, err := s.Publish(list, "east", serving("s-1")); err != nil {
+			if _, err := s.Publish(testList, "east", serving("s-1")); err != nil {
 				t.Error(err)
 			}
 		})
 		began := time.Now()
-		l := c.ask(t, fromVersion(version, 5*time.Second))
+		l := c.mustGet(t, watchQuery(version, 5*time.Second))
 		if took := time.Since(began); took != 700*time.Millisecond || len(l.Endpoints) != 1 {
 			t.Errorf("%s after %v", toJSON(t, l), took)
 		}
 	})
 }
 
-// A version that the log does not cover is answered with the whole list at once.
-func TestWholeListForUnknownVersion(t *testing.T) {
-	inBothModes(t, func(t *testing.T, ask bool) {
-		config := testConfig(ask)
+func TestWatchFromUncoveredVersionGetsSnapshot(t *testing.T) {
+	runInBothModes(t, func(t *testing.T, poll bool) {
+		config := testConfig(poll)
 		config.Replicas = []ReplicaConfig{{Name: "r1", Zone: "a", Region: "east"}, {Name: "r2", Zone: "d", Region: "west"}}
 		config.LogLimit = 4
-		s := start(t, config)
-		c := newCaller(s.Dialer(list, inEast))
-		fresh := c.ask(t, "").Index
+		s := startService(t, config)
+		c := newTestClient(s.Dialer(testList, eastClient))
+		fresh := c.mustGet(t, "").Index
 		for i := range 3 {
 			publish(t, s, "east", serving("s-"+strconv.Itoa(i)))
 		}
-		covered := c.ask(t, "").Index
+		covered := c.mustGet(t, "").Index
 		for i := range 4 {
 			publish(t, s, "east", serving("s-"+strconv.Itoa(i)))
 		}
-		after(replication + moment)
-		other := newCaller(s.Dialer(list, Location{Zone: "d", Region: "west"})).ask(t, "").Index
-		do(t, s.Kill("r1"))
-		do(t, s.Restart("r1"))
-		earlier := c.ask(t, "").Index // where the list is pushed, the agent now follows r2
-		do(t, s.Kill("r2"))
+		advance(replication + epsilon)
+		other := newTestClient(s.Dialer(testList, Location{Zone: "d", Region: "west"})).mustGet(t, "").Index
+		must(t, s.Kill("r1"))
+		must(t, s.Restart("r1"))
+		earlier := c.mustGet(t, "").Index // where the list is pushed, the agent now follows r2
+		must(t, s.Kill("r2"))
 		publish(t, s, "east", serving("s-4"))
-		now := c.ask(t, "").Index
+		now := c.mustGet(t, "").Index
 
 		for name, version := range map[string]int64{"fresh": fresh, "covered": covered, "other": other,
 			"future": now + 1, "zero": 0, "huge": 1<<63 - 1} {
 			began := time.Now()
-			l := c.ask(t, fromVersion(version, time.Minute))
+			l := c.mustGet(t, watchQuery(version, time.Minute))
 			if time.Since(began) != 0 || !l.Snapshot || len(l.Endpoints) != 5 || l.Index != now {
 				t.Errorf("%s version %d: %s after %v", name, version, toJSON(t, l), time.Since(began))
 			}
 		}
-		if ask {
-			if l := c.ask(t, fromVersion(earlier, time.Minute)); l.Snapshot || len(l.Endpoints) != 1 {
+		if poll {
+			if l := c.mustGet(t, watchQuery(earlier, time.Minute)); l.Snapshot || len(l.Endpoints) != 1 {
 				t.Errorf("version %d of this log: %s", earlier, toJSON(t, l))
 			}
 		}
 	})
 }
 
-// The log's limit bounds what it covers.
-func TestLogLimit(t *testing.T) {
+func TestLogLimitBoundsCoveredVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		config := oneReplica(true)
+		config := oneReplicaConfig(true)
 		config.LogLimit = 4
-		s := start(t, config)
-		c := newCaller(s.Dialer(list, inEast))
+		s := startService(t, config)
+		c := newTestClient(s.Dialer(testList, eastClient))
 		var versions []int64
 		for i := range 10 {
-			versions = append(versions, c.ask(t, "").Index)
+			versions = append(versions, c.mustGet(t, "").Index)
 			publish(t, s, "east", serving("s-"+strconv.Itoa(i)))
 		}
 		for i, version := range versions {
-			l := c.ask(t, fromVersion(version, 0))
-			if whole := i < 6; l.Snapshot != whole || len(l.Endpoints) != 10-i && !whole {
+			l := c.mustGet(t, watchQuery(version, 0))
+			if snapshot := i < 6; l.Snapshot != snapshot || len(l.Endpoints) != 10-i && !snapshot {
 				t.Errorf("version %d changes back: snapshot %t, %d endpoints", 10-i, l.Snapshot, len(l.Endpoints))
 			}
 		}
 	})
 }
 
-// What has been deleted leaves nothing behind once every replica knows, also where one was down meanwhile.
-func TestDeletedEndpointsAreForgotten(t *testing.T) {
+// This also holds if a replica was down in the meantime.
+func TestTombstonesAreDroppedOnceReplicated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := start(t, testConfig(true))
+		s := startService(t, testConfig(true))
 		publish(t, s, "east", serving("stays"))
-		do(t, s.Kill("r4"))
+		must(t, s.Kill("r4"))
 		for i := range 100 {
 			name := "s-" + strconv.Itoa(i)
 			publish(t, s, "east", serving(name))
 			publish(t, s, "west", deleted(name))
 		}
-		after(replication + moment)
-		do(t, s.Restart("r4"))
-		after(replication + moment)
+		advance(replication + epsilon)
+		must(t, s.Restart("r4"))
+		advance(replication + epsilon)
 		for _, r := range s.replicas {
-			l := r.list(list)
+			l := r.list(testList)
 			if len(l.records) != 1 || len(l.missing) != 0 {
 				t.Errorf("%s holds %d records and misses %d changes", r.Name, len(l.records), len(l.missing))
 			}
@@ -179,10 +176,10 @@
 	})
 }
 
-func TestBadCalls(t *testing.T) {
-	inBothModes(t, func(t *testing.T, ask bool) {
-		s := start(t, oneReplica(ask))
-		c := newCaller(s.Dialer(list, inEast))
+func TestInvalidRequestGetsErrorStatus(t *testing.T) {
+	runInBothModes(t, func(t *testing.T, poll bool) {
+		s := startService(t, oneReplicaConfig(poll))
+		c := newTestClient(s.Dialer(testList, eastClient))
 		for target, want := range map[string]int{
 			"/":                                                 http.StatusNotFound,
 			"/catalog":                                          http.StatusNotFound,
@@ -204,7 +201,7 @@
 			"/catalog/members?from=1&hold_ms=" + veryLongNumber: http.StatusBadRequest,
 		} {
 			if status, _, err := c.get(t.Context(), target); err != nil || status != want {
-				t.Errorf("%.60s: status %d, error %v, want %d", target, status, err, want)
+				t.Errorf("%.60s: got status %d, error %v, want status %d", target, status, err, want)
 			}
 		}
 		resp, err := c.http.Post("http://registry"+discovery.MembersPath, "text/plain", strings.NewReader("x"))
@@ -220,108 +217,117 @@
 
 var veryLongNumber = strings.Repeat("9", 1000)
 
-func TestBadConfigs(t *testing.T) {
-	for name, spoil := range map[string]func(*Config){
-		"no replicas":       func(c *Config) { c.Replicas = nil },
-		"no random draws":   func(c *Config) { c.Random = nil },
-		"name twice":        func(c *Config) { c.Replicas[1].Name = "r1" },
-		"no name":           func(c *Config) { c.Replicas[1].Name = "" },
-		"negative capacity": func(c *Config) { c.Replicas[1].CallsPerSecond = -1 },
-		"negative delay":    func(c *Config) { c.ReplicationDelay = -1 },
-		"negative queue":    func(c *Config) { c.QueueLimit = -1 },
-		"negative log":      func(c *Config) { c.LogLimit = -1 },
+func TestNewInvalidConfigGivesError(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		change func(*Config)
+		want   string // in the error
+	}{
+		{"no replicas", func(c *Config) { c.Replicas = nil }, "Replicas"},
+		{"no random draws", func(c *Config) { c.Random = nil }, "Random"},
+		{"duplicate name", func(c *Config) { c.Replicas[1].Name = "r1" }, `"r1"`},
+		{"empty name", func(c *Config) { c.Replicas[1].Name = "" }, `""`},
+		{"negative capacity", func(c *Config) { c.Replicas[1].RequestRate = -1 }, "RequestRate"},
+		{"negative delay", func(c *Config) { c.ReplicationDelay = -1 }, "ReplicationDelay -1"},
+		{"negative queue limit", func(c *Config) { c.QueueLimit = -1 }, "QueueLimit -1"},
+		{"negative log limit", func(c *Config) { c.LogLimit = -1 }, "LogLimit -1"},
 	} {
-		config := testConfig(true)
-		spoil(&config)
-		if s, err := New(config); err == nil {
-			s.Close()
-			t.Errorf("%s was taken", name)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			config := testConfig(true)
+			test.change(&config)
+			s, err := New(config)
+			if err == nil {
+				s.Close()
+			}
+			if err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("got error %v, want %s in it", err, test.want)
+			}
+		})
 	}
 }
 
-func TestBadChanges(t *testing.T) {
+func TestPublishInvalidChangeGivesError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := start(t, testConfig(true))
-		nameless, lost, odd, huge := serving(""), serving("s-1"), serving("s-1"), serving("s-1")
-		lost.Address, odd.Status = "nowhere", "ODD"
+		s := startService(t, testConfig(true))
+		noName, badAddress, badStatus, badWeight := serving(""), serving("s-1"), serving("s-1"), serving("s-1")
+		badAddress.Address, badStatus.Status = "nowhere", "ODD"
 		infinite := 1e308
 		infinite *= 10
-		huge.Weight = &infinite
-		for name, changes := range map[string][]discovery.Endpoint{"none": nil, "nameless": {nameless}, "lost": {lost},
-			"odd": {odd}, "huge": {huge}, "twice": {serving("s-1"), deleted("s-1")}} {
-			if _, err := s.Publish(list, "east", changes...); err == nil {
-				t.Errorf("%s was accepted", name)
+		badWeight.Weight = &infinite
+		for name, changes := range map[string][]discovery.Endpoint{"no changes": nil, "no name": {noName},
+			"invalid address": {badAddress}, "unknown status": {badStatus}, "infinite weight": {badWeight},
+			"duplicate endpoint": {serving("s-1"), deleted("s-1")}} {
+			if _, err := s.Publish(testList, "east", changes...); err == nil {
+				t.Errorf("%s: no error", name)
 			}
 		}
-		if _, err := s.Publish(list, "north", serving("s-1")); err == nil {
-			t.Error("a region without replicas accepted a change")
+		if _, err := s.Publish(testList, "north", serving("s-1")); err == nil {
+			t.Error("region without replicas: no error")
 		}
-		if first := publish(t, s, "east", serving("s-1")); first.Number != 1 || first.List != list {
+		if first := publish(t, s, "east", serving("s-1")); first.Number != 1 || first.List != testList {
 			t.Errorf("first change accepted is %+v", first)
 		}
-		if l := newCaller(s.Dialer(list, inEast)).ask(t, ""); len(l.Endpoints) > 1 {
+		if l := newTestClient(s.Dialer(testList, eastClient)).mustGet(t, ""); len(l.Endpoints) > 1 {
 			t.Errorf("list is %s", toJSON(t, l))
 		}
 		s.Close()
-		if _, err := s.Publish(list, "east", serving("s-1")); err == nil {
-			t.Error("a closed service accepted a change")
+		if _, err := s.Publish(testList, "east", serving("s-1")); err == nil {
+			t.Error("closed service: no error")
 		}
 	})
 }
 
-// Observations tell up to which change a client's list is complete, whichever replica it got it from.
-func TestObservations(t *testing.T) {
+// It does so whichever replica the version is from.
+func TestObservationCompleteFollowsVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		config := testConfig(true)
 		config.Replicas = []ReplicaConfig{{Name: "r1", Zone: "a", Region: "east"}, {Name: "r2", Zone: "d", Region: "west"}}
 		var seen []Observation
-		config.Observe = func(o Observation) { seen = append(seen, o) }
-		s := start(t, config)
-		c := newCaller(s.Dialer(list, inEast))
+		config.OnRequest = func(o Observation) { seen = append(seen, o) }
+		s := startService(t, config)
+		c := newTestClient(s.Dialer(testList, eastClient))
 		expect := func(query string, complete int64) int64 {
 			t.Helper()
-			version := c.ask(t, query).Index
-			want := Observation{Client: "in-a", List: list, Complete: complete, At: time.Now()}
+			version := c.mustGet(t, query).Index
+			want := Observation{Client: "in-a", List: testList, Complete: complete, At: time.Now()}
 			if got := seen[len(seen)-1]; got != want {
 				t.Errorf("%q: observed %+v, want %+v", query, got, want)
 			}
 			return version
 		}
-		empty := expect("", NothingKnown)
-		expect(fromVersion(empty, 0), 0)
+		empty := expect("", Unknown)
+		expect(watchQuery(empty, 0), 0)
 		publish(t, s, "east", serving("s-1"))
-		one := expect(fromVersion(empty, 0), 0)
-		expect(fromVersion(one, 0), 1)
+		one := expect(watchQuery(empty, 0), 0)
+		expect(watchQuery(one, 0), 1)
 		if _, err := s.Publish("search", "west", serving("t-1")); err != nil {
 			t.Fatal(err)
 		}
 		publish(t, s, "west", serving("s-2")) // the third change, on its way
 		publish(t, s, "east", serving("s-3"))
-		four := expect(fromVersion(one, 0), 2)
-		expect(fromVersion(four, 0), 2)
-		after(replication + moment)
-		expect(fromVersion(four, 0), 2)
-		all := expect("", NothingKnown)
-		expect(fromVersion(all, 0), 4)
-		expect(fromVersion(all+1, 0), NothingKnown)
-		do(t, s.Kill("r1"))
-		expect(fromVersion(all, 0), 4)
-		do(t, s.Restart("r1"))
-		expect(fromVersion(all, 0), NothingKnown)
+		four := expect(watchQuery(one, 0), 2)
+		expect(watchQuery(four, 0), 2)
+		advance(replication + epsilon)
+		expect(watchQuery(four, 0), 2)
+		all := expect("", Unknown)
+		expect(watchQuery(all, 0), 4)
+		expect(watchQuery(all+1, 0), Unknown)
+		must(t, s.Kill("r1"))
+		expect(watchQuery(all, 0), 4)
+		must(t, s.Restart("r1"))
+		expect(watchQuery(all, 0), Unknown)
 	})
 }
 
-// A client that goes away leaves nothing behind.
-func TestClientsThatLeaveAreForgotten(t *testing.T) {
-	inBothModes(t, func(t *testing.T, ask bool) {
-		s := start(t, oneReplica(ask))
-		c := newCaller(s.Dialer(list, inEast))
-		version := c.ask(t, "").Index
+func TestConnectionOfCancelledWatchIsRemoved(t *testing.T) {
+	runInBothModes(t, func(t *testing.T, poll bool) {
+		s := startService(t, oneReplicaConfig(poll))
+		c := newTestClient(s.Dialer(testList, eastClient))
+		version := c.mustGet(t, "").Index
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error)
 		go func() {
-			_, _, err := c.get(ctx, discovery.MembersPath+fromVersion(version, time.Minute))
+			_, _, err := c.get(ctx, discovery.MembersPath+watchQuery(version, time.Minute))
 			done <- err
 		}()
 		synctest.Wait()
@@ -330,11 +336,11 @@
 		}
 		cancel()
 		if err := <-done; err == nil {
-			t.Error("a watch that was given up has an answer")
+			t.Error("a cancelled watch got a response")
 		}
 		synctest.Wait()
 		if n := len(s.conns); n != 0 {
-			t.Errorf("%d connections after it", n)
+			t.Errorf("%d connections after the watch", n)
 		}
 	})
 }
--- a/internal/emulator/registry/helpers_test.go
+++ b/internal/emulator/registry/helpers_test.go
@@ -19,11 +19,11 @@
 
 const (
 	replication = 50 * time.Millisecond
-	moment      = time.Millisecond
-	list        = "checkout"
+	epsilon     = time.Millisecond
+	testList    = "checkout"
 )
 
-// fourReplicas are two in each of two regions, which have five zones.
+// fourReplicas returns two replicas in each of two regions.
 func fourReplicas() []ReplicaConfig {
 	return []ReplicaConfig{
 		{Name: "r1", Zone: "a", Region: "east"}, {Name: "r2", Zone: "b", Region: "east"},
@@ -31,8 +31,8 @@
 	}
 }
 
-// oneInEachZone are clients, of which the one in zone c has no replica there.
-func oneInEachZone() []Location {
+// clientsOfAllZones returns a client in each of five zones; zone c has no replica.
+func clientsOfAllZones() []Location {
 	return []Location{
 		{Name: "in-a", Zone: "a", Region: "east"}, {Name: "in-b", Zone: "b", Region: "east"},
 		{Name: "in-c", Zone: "c", Region: "east"},
@@ -40,20 +40,21 @@
 	}
 }
 
-func testConfig(ask bool) Config {
-	return Config{Replicas: fourReplicas(), Ask: ask, ReplicationDelay: replication, Random: rand.New(rand.NewPCG(1, 2))}
+func testConfig(poll bool) Config {
+	return Config{Replicas: fourReplicas(), Poll: poll, ReplicationDelay: replication, Random: rand.New(rand.NewPCG(1, 2))}
 }
 
-// inBothModes runs a test with a service that is asked and one that pushes, in a synctest bubble.
-func inBothModes(t *testing.T, run func(t *testing.T, ask bool)) {
-	for _, ask := range []bool{false, true} {
-		t.Run("ask="+strconv.FormatBool(ask), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { run(t, ask) })
+// runInBothModes runs a test with a pushed and with a polled list, in a synctest bubble.
+func runInBothModes(t *testing.T, run func(t *testing.T, poll bool)) {
+	t.Helper()
+	for _, poll := range []bool{false, true} {
+		t.Run("poll="+strconv.FormatBool(poll), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { run(t, poll) })
 		})
 	}
 }
 
-func start(t *testing.T, config Config) *Service {
+func startService(t *testing.T, config Config) *Service {
 	t.Helper()
 	s, err := New(config)
 	if err != nil {
@@ -73,24 +74,24 @@
 
 func publish(t *testing.T, s *Service, region string, changes ...discovery.Endpoint) Change {
 	t.Helper()
-	change, err := s.Publish(list, region, changes...)
+	change, err := s.Publish(testList, region, changes...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return change
 }
 
-func do(t *testing.T, err error) {
+func must(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-// members is a list as a client has it.
-type members map[string]discovery.Endpoint
+// memberSet is the list of a client, by name.
+type memberSet map[string]discovery.Endpoint
 
-func (m members) take(l *discovery.List) {
+func (m memberSet) apply(l *discovery.List) {
 	if l.Snapshot {
 		clear(m)
 	}
@@ -103,21 +104,21 @@
 	}
 }
 
-// watcher is a client of the service with the list that it has put together.
+// watcher is a discovery client and the list that it has received.
 type watcher struct {
 	mu       sync.Mutex
-	have     members
-	answers  int
+	members  memberSet
+	updates  int
 	failures int
 }
 
-// watch starts a real client of discovery, which lasts until the test ends.
+// watch starts a discovery client, which runs until the test ends.
 func watch(t *testing.T, s *Service, of string, at Location) *watcher {
 	t.Helper()
-	w := &watcher{have: members{}}
+	w := &watcher{members: memberSet{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	updates, requests := make(chan discovery.Update), make(chan struct{}, 1)
-	client := discovery.NewClient(discovery.Options{Address: "registry:80", Known: discovery.NoVersion, Ask: s.config.Ask,
+	client := discovery.NewClient(discovery.Options{Address: "registry:80", Known: discovery.NoVersion, Ask: s.config.Poll,
 		Updates: updates, Requests: requests, Log: slog.New(slog.DiscardHandler), Dial: s.Dialer(of, at),
 		Random: rand.New(rand.NewPCG(3, 4))})
 	var running sync.WaitGroup
@@ -134,10 +135,10 @@
 	for {
 		select {
 		case u := <-updates:
-			if w.take(u) {
+			if w.apply(u) {
 				continue
 			}
-			time.Sleep(200 * time.Millisecond) // as the decision module rests
+			time.Sleep(200 * time.Millisecond) // as the balancer backs off
 			requests <- struct{}{}
 		case <-ctx.Done():
 			return
@@ -145,56 +146,56 @@
 	}
 }
 
-func (w *watcher) take(u discovery.Update) bool {
+func (w *watcher) apply(u discovery.Update) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if u.List == nil {
 		w.failures++
 		return false
 	}
-	w.answers++
-	w.have.take(u.List)
+	w.updates++
+	w.members.apply(u.List)
 	return true
 }
 
 func (w *watcher) has(name string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	_, ok := w.have[name]
+	_, ok := w.members[name]
 	return ok
 }
 
-func (w *watcher) list() members {
+func (w *watcher) snapshot() memberSet {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return maps.Clone(w.have)
+	return maps.Clone(w.members)
 }
 
 func (w *watcher) count() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.answers
+	return w.updates
 }
 
-// after lets time pass in the bubble, and what is due by then happen.
-func after(d time.Duration) {
+// advance advances the time of the bubble, and waits for what happens until then.
+func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-// caller makes single calls, each on a connection of its own.
-type caller struct {
+// testClient makes single requests, each on a connection of its own.
+type testClient struct {
 	http      http.Client
 	transport *http.Transport
 }
 
-func newCaller(dial discovery.Dialer) *caller {
+func newTestClient(dial discovery.Dialer) *testClient {
 	transport := &http.Transport{DialContext: dial, DisableKeepAlives: true}
-	return &caller{http: http.Client{Transport: transport}, transport: transport}
+	return &testClient{http: http.Client{Transport: transport}, transport: transport}
 }
 
-// get makes a call with a query, or none if it is empty.
-func (c *caller) get(ctx context.Context, target string) (status int, answer *discovery.List, err error) {
+// get makes a request.
+func (c *testClient) get(ctx context.Context, target string) (status int, answer *discovery.List, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://registry"+target, nil)
 	if err != nil {
 		return 0, nil, err
@@ -212,8 +213,8 @@
 	return resp.StatusCode, answer, err
 }
 
-// ask makes a call that has to be answered with a list.
-func (c *caller) ask(t *testing.T, query string) *discovery.List {
+// mustGet makes a request whose response must be a list.
+func (c *testClient) mustGet(t *testing.T, query string) *discovery.List {
 	t.Helper()
 	status, answer, err := c.get(t.Context(), discovery.MembersPath+query)
 	if err != nil || status != http.StatusOK {
@@ -222,7 +223,7 @@
 	return answer
 }
 
-func fromVersion(version int64, hold time.Duration) string {
+func watchQuery(version int64, hold time.Duration) string {
 	return "?" + discovery.FromQuery + "=" + strconv.FormatInt(version, 10) +
 		"&" + discovery.HoldQuery + "=" + strconv.FormatInt(hold.Milliseconds(), 10)
 }
--- a/internal/emulator/registry/listen.go
+++ b/internal/emulator/registry/listen.go
@@ -13,10 +13,10 @@
 	"baylock/internal/discovery"
 )
 
-// acceptRetry is the wait after a connection that could not be accepted, as where descriptors run short.
-const acceptRetry = 10 * time.Millisecond
+// acceptBackoff is the wait after a failed accept, as when file descriptors run out.
+const acceptBackoff = 10 * time.Millisecond
 
-// Listen opens a loopback address for one client and gives it as host:port. It serves one list.
+// Listen opens a loopback address, host:port, at which one client is served one list.
 func (s *Service) Listen(list string, at Location) (address string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,11 +29,12 @@
 		return "", errClosed
 	}
 	s.listeners = append(s.listeners, listener)
-	client := &client{list: list, at: at}
+	client := &client{list: list, location: at}
 	s.running.Go(func() { s.accept(listener, client) })
 	return listener.Addr().String(), nil
 }
 
+// accept accepts a client's connections until the listener is closed.
 func (s *Service) accept(listener net.Listener, client *client) {
 	for {
 		raw, err := listener.Accept()
@@ -42,27 +43,27 @@
 		}
 		if err != nil {
 			select {
-			case <-time.After(acceptRetry):
+			case <-time.After(acceptBackoff):
 				continue
 			case <-s.closed:
 				return
 			}
 		}
-		if c, err := s.admit(raw, client); err != nil {
+		if c, err := s.handOver(raw, client); err != nil {
 			c.reset()
 		}
 	}
 }
 
-// Dialer gives the connections of one client in memory, whatever the address. They serve one list.
+// Dialer returns a dialer for in-memory connections of one client, which is served one list. It ignores the address.
 func (s *Service) Dialer(list string, at Location) discovery.Dialer {
-	client := &client{list: list, at: at}
+	client := &client{list: list, location: at}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		if err := ctx.Err(); err != nil {
 			return nil, err
 		}
 		near, far := net.Pipe()
-		if c, err := s.admit(far, client); err != nil {
+		if c, err := s.handOver(far, client); err != nil {
 			c.reset()
 			_ = near.Close() // unused
 			return nil, &net.OpError{Op: "dial", Net: network, Err: err}
@@ -71,43 +72,44 @@
 	}
 }
 
-// admit hands a client's connection to the nearest replica. It is refused where every replica is down, and silent where
-// a cut lies between. An agent takes every connection.
-func (s *Service) admit(raw net.Conn, client *client) (*conn, error) {
+// handOver hands a client's connection to the HTTP server. Where the list is polled, it is refused if every replica is
+// down, and silent if the client reaches none. An agent takes every connection.
+func (s *Service) handOver(raw net.Conn, client *client) (*conn, error) {
 	c := &conn{Conn: raw, service: s, client: client, ended: make(chan struct{})}
 	if err := s.assign(c); err != nil {
 		return c, err
 	}
 	select {
-	case s.handoff.conns <- c:
+	case s.memoryListener.conns <- c:
 		return c, nil
-	case <-s.handoff.closed:
+	case <-s.memoryListener.closed:
 		return c, errClosed
 	}
 }
 
+// assign assigns a connection to the nearest replica, where the list is polled.
 func (s *Service) assign(c *conn) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.isClosed() {
 		return errClosed
 	}
-	if s.config.Ask {
+	if s.config.Poll {
 		if !s.anyLive() {
 			return syscall.ECONNREFUSED
 		}
-		c.replica = s.nearest(c.client.at)
+		c.replica = s.nearest(c.client.location)
 		c.silent.Store(c.replica == nil)
 		if c.replica != nil {
 			c.replica.load++
 		}
 	}
-	c.countedBy.Store(s.replicaFor(c))
+	c.metered.Store(s.replicaFor(c))
 	s.conns = append(s.conns, c)
 	return nil
 }
 
-// forget takes a connection that has ended off the list.
+// forget removes a connection that has ended.
 func (s *Service) forget(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,7 +123,7 @@
 	}
 }
 
-// trackConn keeps count of the server's connections for Close.
+// trackConn counts the server's connections for Close.
 func (s *Service) trackConn(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -131,18 +133,18 @@
 	}
 }
 
-// handoff is the listener from which the server takes the connections that admit hands over.
-type handoff struct {
+// memoryListener is a net.Listener for the connections that handOver hands over.
+type memoryListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
 }
 
-func newHandoff() *handoff {
-	return &handoff{conns: make(chan net.Conn), closed: make(chan struct{})}
+func newMemoryListener() *memoryListener {
+	return &memoryListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
 // Accept waits for the next connection.
-func (h *handoff) Accept() (net.Conn, error) {
+func (h *memoryListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-h.conns:
 		return c, nil
@@ -151,11 +153,11 @@
 	}
 }
 
-// Close lets no more connections in. The server calls it once.
-func (h *handoff) Close() error {
+// Close ends the listener. The server calls it once.
+func (h *memoryListener) Close() error {
 	close(h.closed)
 	return nil
 }
 
-// Addr names the listener; it has no address.
-func (h *handoff) Addr() net.Addr { return &net.UnixAddr{Name: "registry", Net: "memory"} }
+// Addr returns a placeholder, as the listener has no address.
+func (h *memoryListener) Addr() net.Addr { return &net.UnixAddr{Name: "registry", Net: "memory"} }
--- a/internal/emulator/registry/log.go
+++ b/internal/emulator/registry/memberlist.go
@@ -8,11 +8,11 @@
 	"baylock/internal/discovery"
 )
 
-// A version is the number of a replica's start and, in its low bits, the sequence number of the list's last log entry.
-// Both fit the 53 bits that every reader of JSON keeps.
+// A version is the epoch of a replica's start and, in its low bits, the sequence number of the list's last log entry. Both
+// fit the 53 bits that every reader of JSON keeps.
 const sequenceBits = 32
 
-// record is the last change of an endpoint that a replica has; of status Deleted, a tombstone.
+// record is the last change of an endpoint that a replica has. One of status Deleted is a tombstone.
 type record struct {
 	endpoint discovery.Endpoint
 	number   int64 // of the change
@@ -20,58 +20,58 @@
 
 type logEntry struct {
 	name     string // of the endpoint that changed
-	complete int64  // up to which change the version before this entry was complete
+	complete int64  // the change up to which the version before this entry was complete
 }
 
-// memberList is one replica's copy of a list, with a log of what changed in it since the replica's start.
+// memberList is one replica's copy of a list, with a log of its changes since the replica's start.
 type memberList struct {
-	epoch   int64
-	limit   int // entries that the log may hold
-	records map[string]record
-	missing []int64 // numbers of the accepted changes that have not come yet, ascending
-	latest  int64   // number of the last accepted change
+	epoch        int64
+	logLimit     int // entries of the log at most
+	records      map[string]record
+	missing      []int64 // numbers of the accepted changes that have not arrived yet, ascending
+	lastAccepted int64   // number of the last accepted change
 
-	base    int64 // sequence number of the oldest version that the log covers
-	entries []logEntry
-	changed chan struct{} // closed and replaced at each new version
+	baseSequence int64 // sequence number of the oldest version that the log covers
+	entries      []logEntry
+	changed      chan struct{} // closed and replaced at each new version
 
-	whole       []byte // the encoded whole list at this version; nil: not encoded yet
-	changes     []byte // the encoded changes since changesFrom; nil: not encoded yet
-	changesFrom int64
+	snapshot       []byte // the encoded list at this version; nil: not encoded yet
+	encodedChanges []byte // the encoded changes since changesFrom; nil: not encoded yet
+	changesFrom    int64
 }
 
 func newMemberList(epoch int64, limit int) *memberList {
-	return &memberList{epoch: epoch, limit: limit, records: map[string]record{}, changed: make(chan struct{})}
+	return &memberList{epoch: epoch, logLimit: limit, records: map[string]record{}, changed: make(chan struct{})}
 }
 
-// restart begins a new log with what the list holds.
-func (l *memberList) restart(epoch int64) {
-	l.epoch, l.base, l.entries = epoch, 0, nil
-	l.forgetEncoded()
+// resetLog begins a new log for the present list.
+func (l *memberList) resetLog(epoch int64) {
+	l.epoch, l.baseSequence, l.entries = epoch, 0, nil
+	l.clearEncoded()
 }
 
 func (l *memberList) version() int64 {
-	return l.epoch<<sequenceBits + l.base + int64(len(l.entries))
+	return l.epoch<<sequenceBits + l.baseSequence + int64(len(l.entries))
 }
 
-// covers tells whether the log holds all that is newer than a version.
+// covers reports whether the log has all changes since a version.
 func (l *memberList) covers(version int64) bool {
-	return version >= l.epoch<<sequenceBits+l.base && version <= l.version()
+	return version >= l.epoch<<sequenceBits+l.baseSequence && version <= l.version()
 }
 
-// complete is the number up to which the list has every accepted change.
+// complete is the number of the change up to which the list has every accepted one.
 func (l *memberList) complete() int64 {
 	if len(l.missing) > 0 {
 		return l.missing[0] - 1
 	}
-	return l.latest
+	return l.lastAccepted
 }
 
-// completeAt is the same at a version, or NothingKnown where the log does not cover it.
+// completeAt is complete at an earlier version, or Unknown if the log does not cover it.
 func (l *memberList) completeAt(version int64) int64 {
 	switch {
 	case !l.covers(version):
-		return NothingKnown
+		return Unknown
 	case version == l.version():
 		return l.complete()
 	default:
@@ -79,18 +79,18 @@
 	}
 }
 
-// position is the place in the log of the first entry after a version that it covers.
+// position is the index of the first log entry after a version that the log covers.
 func (l *memberList) position(version int64) int64 {
-	return version - l.epoch<<sequenceBits - l.base
+	return version - l.epoch<<sequenceBits - l.baseSequence
 }
 
-// expect notes that a change has been accepted somewhere.
-func (l *memberList) expect(number int64) {
+// expectChange records that a replica has accepted a change.
+func (l *memberList) expectChange(number int64) {
 	l.missing = append(l.missing, number)
-	l.latest = number
+	l.lastAccepted = number
 }
 
-// apply takes a change in, unless the list has it. An endpoint that a later change concerns stays as that left it.
+// apply applies a change, unless the list has it already. Endpoints with a later change stay as they are.
 func (l *memberList) apply(number int64, endpoints []discovery.Endpoint) {
 	at, isMissing := slices.BinarySearch(l.missing, number)
 	if !isMissing {
@@ -104,7 +104,7 @@
 	l.missing = slices.Delete(l.missing, at, at+1)
 }
 
-// merge takes in all that another replica's copy has.
+// merge applies all changes of another replica's copy.
 func (l *memberList) merge(peer *memberList) {
 	newer := make([]record, 0)
 	for name, r := range peer.records {
@@ -122,7 +122,7 @@
 	})
 }
 
-// store keeps those records that are newer than the list's own and logs them.
+// store stores and logs the records that are newer than the list's own.
 func (l *memberList) store(records []record) {
 	before := l.version()
 	for _, r := range records {
@@ -133,18 +133,18 @@
 		l.entries = append(l.entries, logEntry{name: name, complete: l.complete()})
 		l.records[name] = r
 	}
-	if excess := len(l.entries) - l.limit; excess > 0 {
+	if excess := len(l.entries) - l.logLimit; excess > 0 {
 		l.entries = slices.Clone(l.entries[excess:])
-		l.base += int64(excess)
+		l.baseSequence += int64(excess)
 	}
 	if l.version() != before {
-		l.forgetEncoded()
+		l.clearEncoded()
 		close(l.changed)
 		l.changed = make(chan struct{})
 	}
 }
 
-// dropTombstones forgets the endpoints deleted by changes up to a number, which every replica has by now.
+// dropTombstones removes the tombstones of changes up to a number that every replica has.
 func (l *memberList) dropTombstones(settled int64) {
 	for name, r := range l.records {
 		if r.endpoint.Status == discovery.Deleted && r.number <= settled {
@@ -153,11 +153,11 @@
 	}
 }
 
-func (l *memberList) forgetEncoded() { l.whole, l.changes = nil, nil }
+func (l *memberList) clearEncoded() { l.snapshot, l.encodedChanges = nil, nil }
 
-// encodeWhole gives the whole list in the form of the wire.
-func (l *memberList) encodeWhole() []byte {
-	if l.whole == nil {
+// encodeSnapshot returns the complete list in wire format.
+func (l *memberList) encodeSnapshot() []byte {
+	if l.snapshot == nil {
 		endpoints := make([]discovery.Endpoint, 0, len(l.records))
 		for _, r := range l.records {
 			if r.endpoint.Status != discovery.Deleted {
@@ -165,18 +165,18 @@
 			}
 		}
 		slices.SortFunc(endpoints, func(a, b discovery.Endpoint) int { return cmp.Compare(a.Name, b.Name) })
-		l.whole = encode(&discovery.List{Index: l.version(), Snapshot: true, Endpoints: endpoints})
+		l.snapshot = encode(&discovery.List{Index: l.version(), Snapshot: true, Endpoints: endpoints})
 	}
-	return l.whole
+	return l.snapshot
 }
 
-// encodeChanges gives what is newer than a version that the log covers, each endpoint as it is now.
+// encodeChanges returns the endpoints that changed since a version that the log covers, each as it is now, in wire format.
 func (l *memberList) encodeChanges(from int64) []byte {
-	if l.changes == nil || l.changesFrom != from {
+	if l.encodedChanges == nil || l.changesFrom != from {
 		list := &discovery.List{Index: l.version(), Endpoints: l.changedSince(from)}
-		l.changes, l.changesFrom = encode(list), from
+		l.encodedChanges, l.changesFrom = encode(list), from
 	}
-	return l.changes
+	return l.encodedChanges
 }
 
 func (l *memberList) changedSince(from int64) []discovery.Endpoint {
@@ -196,11 +196,11 @@
 	return endpoints
 }
 
-// encode gives a list in the form of the wire.
+// encode encodes a list in wire format.
 func encode(list *discovery.List) []byte {
 	data, err := json.Marshal(list)
 	if err != nil {
-		panic(err) // checkChanges lets no figure in that JSON cannot hold
+		panic(err) // checkChanges rejects what JSON cannot represent
 	}
 	return data
 }
--- a/internal/emulator/registry/registry_test.go
+++ b/internal/emulator/registry/registry_test.go
@@ -6,66 +6,66 @@
 	"time"
 )
 
-// A change is told to every watcher of its list within the replication delay, and to those of no other list.
+// It does so within the replication delay.
 func TestChangeReachesWatchersOfItsListOnly(t *testing.T) {
-	inBothModes(t, func(t *testing.T, ask bool) {
-		s := start(t, testConfig(ask))
+	runInBothModes(t, func(t *testing.T, poll bool) {
+		s := startService(t, testConfig(poll))
 		var watchers, others []*watcher
-		for _, at := range oneInEachZone() {
-			watchers = append(watchers, watch(t, s, list, at))
+		for _, at := range clientsOfAllZones() {
+			watchers = append(watchers, watch(t, s, testList, at))
 			others = append(others, watch(t, s, "search", at))
 		}
-		after(100 * time.Millisecond)
+		advance(100 * time.Millisecond)
 		before := others[0].count()
 		publish(t, s, "east", serving("s-1"))
-		after(replication + moment)
+		advance(replication + epsilon)
 		for i, w := range watchers {
 			if !w.has("s-1") {
-				t.Errorf("watcher %d was not told", i)
+				t.Errorf("watcher %d did not get the change", i)
 			}
 		}
 		for i, w := range others {
 			if n := w.count(); n != before {
-				t.Errorf("watcher %d of another list got %d answers", i, n-before)
+				t.Errorf("watcher %d of another list got %d updates", i, n-before)
 			}
 		}
 	})
 }
 
-// Only clients of the replica that accepted a change are told before the replication delay.
-func TestReplicationTakesItsDelay(t *testing.T) {
-	inBothModes(t, func(t *testing.T, ask bool) {
-		config := testConfig(ask)
+// Clients of the replica that accepted the change get it at once.
+func TestChangeReachesOtherReplicaAfterDelay(t *testing.T) {
+	runInBothModes(t, func(t *testing.T, poll bool) {
+		config := testConfig(poll)
 		config.Replicas = []ReplicaConfig{{Name: "r1", Zone: "a", Region: "east"}, {Name: "r2", Zone: "d", Region: "west"}}
-		s := start(t, config)
-		near := watch(t, s, list, Location{Name: "near", Zone: "a", Region: "east"})
-		far := watch(t, s, list, Location{Name: "far", Zone: "d", Region: "west"})
+		s := startService(t, config)
+		near := watch(t, s, testList, Location{Name: "near", Zone: "a", Region: "east"})
+		far := watch(t, s, testList, Location{Name: "far", Zone: "d", Region: "west"})
 		synctest.Wait()
 		publish(t, s, "east", serving("s-1"))
-		after(replication - moment)
+		advance(replication - epsilon)
 		if !near.has("s-1") || far.has("s-1") {
-			t.Errorf("before the delay: near told %t, far told %t", near.has("s-1"), far.has("s-1"))
+			t.Errorf("before the delay: near has it: %t, far has it: %t", near.has("s-1"), far.has("s-1"))
 		}
-		after(2 * moment)
+		advance(2 * epsilon)
 		if !far.has("s-1") {
-			t.Error("far was not told after the delay")
+			t.Error("far did not get the change after the delay")
 		}
 	})
 }
 
-// Of two changes of one endpoint that cross on their way, the one accepted later wins everywhere.
-func TestChangesThatCross(t *testing.T) {
-	inBothModes(t, func(t *testing.T, ask bool) {
-		s := start(t, testConfig(ask))
+// Each of the two changes of one endpoint is accepted before the other has arrived.
+func TestConcurrentChangesLaterOneWins(t *testing.T) {
+	runInBothModes(t, func(t *testing.T, poll bool) {
+		s := startService(t, testConfig(poll))
 		watchers := watchEverywhere(t, s)
 		earlier, later := serving("s-1"), serving("s-1")
 		earlier.Zone, later.Zone = "earlier", "later"
 		publish(t, s, "east", earlier)
-		after(replication / 2)
+		advance(replication / 2)
 		publish(t, s, "west", later)
-		after(replication + moment)
+		advance(replication + epsilon)
 		for i, w := range watchers {
-			if zone := w.list()["s-1"].Zone; zone != "later" {
+			if zone := w.snapshot()["s-1"].Zone; zone != "later" {
 				t.Errorf("watcher %d has the change %q", i, zone)
 			}
 		}
--- a/internal/emulator/registry/replica.go
+++ b/internal/emulator/registry/replica.go
@@ -1,18 +1,16 @@
 package registry
 
-import (
-	"time"
-)
+import "time"
 
-// replica is one of the service's servers. What it has stored outlives its end, its log does not.
+// replica is one server of the service. Its stored changes survive a restart, its log does not.
 type replica struct {
 	ReplicaConfig
 	live     bool
 	epoch    int64 // of its last start
 	logLimit int
 	lists    map[string]*memberList
-	load     int       // connections, or agents that follow it
-	freeAt   time.Time // when it has worked off the calls that wait in turn
+	load     int       // its connections, or the agents that follow it
+	idleAt   time.Time // when it has served the requests in its queue
 	usage    usage
 }
 
@@ -20,7 +18,7 @@
 	return &replica{ReplicaConfig: config, live: true, epoch: epoch, logLimit: logLimit, lists: map[string]*memberList{}}
 }
 
-// list is the replica's copy of a list, empty if nothing has been published on it.
+// list returns the replica's copy of a list, empty if nothing has been published on it.
 func (r *replica) list(name string) *memberList {
 	l, ok := r.lists[name]
 	if !ok {
@@ -30,14 +28,14 @@
 	return l
 }
 
-// start brings the replica up with a new log, after it has taken in all that the given peers have.
+// start starts the replica with a new log, after merging the lists of the given peers.
 func (r *replica) start(epoch int64, peers []*replica) {
 	for _, peer := range peers {
 		r.merge(peer)
 	}
-	r.live, r.epoch, r.freeAt = true, epoch, time.Time{}
+	r.live, r.epoch, r.idleAt = true, epoch, time.Time{}
 	for _, l := range r.lists {
-		l.restart(epoch)
+		l.resetLog(epoch)
 	}
 }
 
@@ -47,19 +45,19 @@
 	}
 }
 
-// takeTurn gives the time that a call takes, with its wait for those before it, or says that it would wait longer than
-// the limit. A turn once taken is worked off, even if its call is given up.
-func (r *replica) takeTurn(now time.Time, limit time.Duration) (wait time.Duration, ok bool) {
-	if r.CallsPerSecond == 0 {
+// reserveCapacity returns the service time of a request with its wait in the queue, or false if that wait is over the
+// limit. The capacity is used even if the request is cancelled.
+func (r *replica) reserveCapacity(now time.Time, limit time.Duration) (wait time.Duration, ok bool) {
+	if r.RequestRate == 0 {
 		return 0, true
 	}
-	start := r.freeAt
+	start := r.idleAt
 	if start.Before(now) {
 		start = now
 	}
 	if start.Sub(now) > limit {
 		return 0, false
 	}
-	r.freeAt = start.Add(time.Duration(float64(time.Second) / r.CallsPerSecond))
-	return r.freeAt.Sub(now), true
+	r.idleAt = start.Add(time.Duration(float64(time.Second) / r.RequestRate))
+	return r.idleAt.Sub(now), true
 }
--- a/internal/emulator/registry/replication.go
+++ b/internal/emulator/registry/replication.go
@@ -6,7 +6,7 @@
 	"baylock/internal/discovery"
 )
 
-// delivery is what is under way between replicas: one change, or with no origin an exchange of all that each has.
+// delivery is a message between replicas: one change or, without an origin, an exchange of all that each has stored.
 type delivery struct {
 	due       time.Time
 	origin    *replica
@@ -19,18 +19,18 @@
 	s.send(delivery{change: change, endpoints: endpoints, origin: origin})
 }
 
-// synchronize has all replicas that reach each other exchange what they have. It follows each restart and each healed
-// link, since what was sent before has been lost.
+// synchronize makes all replicas that reach each other exchange their lists. It follows each restart and each healed
+// link, as earlier deliveries were lost.
 func (s *Service) synchronize() { s.send(delivery{}) }
 
-// send puts a delivery under way. The delay is the same for all, so they arrive in order.
+// send sends a delivery. The delay is the same for all, so they arrive in order.
 func (s *Service) send(d delivery) {
 	d.due = time.Now().Add(s.config.ReplicationDelay)
 	s.deliveries = append(s.deliveries, d)
 	time.AfterFunc(s.config.ReplicationDelay, s.deliver)
 }
 
-// deliver hands over all that is due.
+// deliver delivers all that is due.
 func (s *Service) deliver() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,7 +39,7 @@
 		d := s.deliveries[0]
 		s.deliveries = s.deliveries[1:]
 		if d.origin == nil {
-			s.exchange()
+			s.exchangeAll()
 		} else {
 			s.deliverChange(d)
 		}
@@ -55,7 +55,7 @@
 	s.dropTombstones(d.change.List)
 }
 
-func (s *Service) exchange() {
+func (s *Service) exchangeAll() {
 	for _, from := range s.replicas {
 		for _, to := range s.replicas {
 			if from != to && from.live && to.live && s.linked(from, to) {
@@ -68,9 +68,9 @@
 	}
 }
 
-// dropTombstones forgets what has been deleted from a list, as far as no replica misses a change up to there.
+// dropTombstones removes the tombstones of a list that every replica has.
 func (s *Service) dropTombstones(list string) {
-	settled := s.number
+	settled := s.lastChange
 	for _, r := range s.replicas {
 		settled = min(settled, r.list(list).complete())
 	}
--- a/internal/emulator/registry/routing.go
+++ b/internal/emulator/registry/routing.go
@@ -1,11 +1,11 @@
 package registry
 
-// linked tells whether two replicas reach each other.
+// linked reports whether two replicas reach each other.
 func (s *Service) linked(a, b *replica) bool {
 	return a.Zone == b.Zone || s.connected(a.Zone, a.Region, b.Zone, b.Region)
 }
 
-// reaches tells whether a client and a replica reach each other. Clients in a zone that is cut off reach none.
+// reaches reports whether a client and a replica reach each other. Clients in an isolated zone reach none.
 func (s *Service) reaches(at Location, r *replica) bool {
 	return s.connected(at.Zone, at.Region, r.Zone, r.Region)
 }
@@ -14,11 +14,11 @@
 	if s.faults.cutZones[zoneA] || s.faults.cutZones[zoneB] {
 		return false
 	}
-	return regionA == regionB || !s.faults.regionsApart
+	return regionA == regionB || !s.faults.regionsPartitioned
 }
 
-// nearest is the replica for a client: one of its zone, of its region, or any, and the least loaded of these; nil if it
-// reaches no live one.
+// nearest returns the replica for a client: one of its zone, else of its region, else any, and the least loaded of
+// these. It is nil if the client reaches no live one.
 func (s *Service) nearest(at Location) *replica {
 	var best *replica
 	for _, r := range s.replicas {
@@ -33,14 +33,21 @@
 	return best
 }
 
+// The distances between a client and a replica, nearest first.
+const (
+	sameZone = iota
+	sameRegion
+	otherRegion
+)
+
 func distance(at Location, r *replica) int {
 	switch {
 	case at.Zone == r.Zone:
-		return 0
+		return sameZone
 	case at.Region == r.Region:
-		return 1
+		return sameRegion
 	default:
-		return 2
+		return otherRegion
 	}
 }
 
@@ -53,29 +60,30 @@
 	return false
 }
 
-// replicaFor is the replica that answers a connection's calls now, or nil. An agent keeps to one while it can.
+// replicaFor returns the replica that serves a connection's requests now, or nil. An agent keeps its replica while it
+// reaches it.
 func (s *Service) replicaFor(c *conn) *replica {
-	if s.config.Ask {
+	if s.config.Poll {
 		if c.replica == nil || !c.replica.live {
 			return nil
 		}
 		return c.replica
 	}
-	s.attach(c.client)
-	c.countedBy.Store(c.client.follows)
-	return c.client.follows
+	s.attachAgent(c.client)
+	c.metered.Store(c.client.replica)
+	return c.client.replica
 }
 
-// attach lets a client's agent follow the nearest replica, unless it still reaches the one that it follows.
-func (s *Service) attach(c *client) {
-	if c.follows != nil && c.follows.live && s.reaches(c.at, c.follows) {
+// attachAgent makes a client's agent follow the nearest replica, unless it reaches the one that it follows.
+func (s *Service) attachAgent(c *client) {
+	if c.replica != nil && c.replica.live && s.reaches(c.location, c.replica) {
 		return
 	}
-	if c.follows != nil {
-		c.follows.load--
+	if c.replica != nil {
+		c.replica.load--
 	}
-	c.follows = s.nearest(c.at)
-	if c.follows != nil {
-		c.follows.load++
+	c.replica = s.nearest(c.location)
+	if c.replica != nil {
+		c.replica.load++
 	}
 }
--- a/internal/emulator/registry/usage.go
+++ b/internal/emulator/registry/usage.go
@@ -5,52 +5,55 @@
 	"time"
 )
 
-// ReplicaUsage is what the calls of a while have cost one replica.
+// ReplicaUsage is the load of one replica during some time.
 type ReplicaUsage struct {
-	Name              string
-	Calls, Refused    int64
-	WholeLists        int64 // answers with the whole list
-	BytesIn, BytesOut int64 // with the headers
-	BusiestCalls      int64 // calls in the busiest second
-	BusiestBytes      int64 // bytes in and out in the busiest second
+	Name               string
+	Requests, Rejected int64
+	Snapshots          int64 // responses with the complete list
+	BytesIn, BytesOut  int64 // headers included
+	PeakRequests       int64 // in the busiest second
+	PeakBytes          int64 // in and out, in the busiest second
 }
 
-// Usage gives the usage of each replica since the last time it was asked for. Where the list is pushed, an agent's
-// calls and bytes count for the replica that it follows. A second in which it is asked for counts in two parts.
+// Usage returns the usage of each replica since the previous call of Usage. Where the list is pushed, an agent's requests
+// and bytes count for the replica that it follows. A call within a second divides that second's counts.
 func (s *Service) Usage() []ReplicaUsage {
-	out := make([]ReplicaUsage, 0, len(s.replicas))
+	usages := make([]ReplicaUsage, 0, len(s.replicas))
 	for _, r := range s.replicas {
-		total := r.usage.take()
-		total.Name = r.Name
-		out = append(out, total)
+		usage := r.usage.reset()
+		usage.Name = r.Name
+		usages = append(usages, usage)
 	}
-	return out
+	return usages
 }
 
-// usage counts what a replica does.
+// usage counts the load of a replica.
 type usage struct {
-	mu     sync.Mutex
-	total  ReplicaUsage
-	second int64 // Unix time of the second that the two below belong to
-	calls  int64
-	bytes  int64
+	mu               sync.Mutex // guards all below
+	total            ReplicaUsage
+	currentSecond    int64 // Unix time
+	requestsInSecond int64
+	bytesInSecond    int64
 }
 
-func (u *usage) take() ReplicaUsage {
+// reset returns the counts and sets them to zero.
+func (u *usage) reset() ReplicaUsage {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	total := u.total
-	u.total, u.calls, u.bytes = ReplicaUsage{}, 0, 0
+	u.total = ReplicaUsage{}
+	u.requestsInSecond = 0
+	u.bytesInSecond = 0
 	return total
 }
 
-func (u *usage) addCall() {
+func (u *usage) addRequest() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.turnSecond()
-	u.total.Calls++
-	u.calls++
-	u.total.BusiestCalls = max(u.total.BusiestCalls, u.calls)
+	u.startSecond()
+	u.total.Requests++
+	u.requestsInSecond++
+	u.total.PeakRequests = max(u.total.PeakRequests, u.requestsInSecond)
 }
 
 func (u *usage) addBytesIn(n int) {
@@ -67,27 +70,32 @@
 	u.addBytes(n)
 }
 
+// addBytes counts bytes in either direction. The lock is held.
 func (u *usage) addBytes(n int) {
-	u.turnSecond()
-	u.bytes += int64(n)
-	u.total.BusiestBytes = max(u.total.BusiestBytes, u.bytes)
+	u.startSecond()
+	u.bytesInSecond += int64(n)
+	u.total.PeakBytes = max(u.total.PeakBytes, u.bytesInSecond)
 }
 
-func (u *usage) addRefused() {
+func (u *usage) addRejected() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.total.Refused++
+	u.total.Rejected++
 }
 
-func (u *usage) addWholeList() {
+func (u *usage) addSnapshot() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.total.WholeLists++
+	u.total.Snapshots++
 }
 
-// turnSecond begins a new second if it is time.
-func (u *usage) turnSecond() {
-	if now := time.Now().Unix(); now != u.second {
-		u.second, u.calls, u.bytes = now, 0, 0
+// startSecond resets the counts of the second if a new one has begun. The lock is held.
+func (u *usage) startSecond() {
+	now := time.Now().Unix()
+	if now == u.currentSecond {
+		return
 	}
+	u.currentSecond = now
+	u.requestsInSecond = 0
+	u.bytesInSecond = 0
 }
--- a/internal/scale/propagation/fleet.go
+++ b/internal/scale/propagation/fleet.go
@@ -52,8 +52,8 @@
 func newFleet(ctx context.Context, config fleetConfig) (*fleet, error) {
 	stream := func(n uint64) *rand.Rand { return rand.New(rand.NewPCG(config.seed, n)) }
 	real := newRealProxies()
-	service, err := registry.New(registry.Config{Replicas: replicas(config.size.replicaCalls), Ask: config.ask,
-		ReplicationDelay: replicationDelay, Random: stream(serviceStream), Observe: real.observe})
+	service, err := registry.New(registry.Config{Replicas: replicas(config.size.replicaCalls), Poll: config.ask,
+		ReplicationDelay: replicationDelay, Random: stream(serviceStream), OnRequest: real.observe})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/scale/propagation/load.go
+++ b/internal/scale/propagation/load.go
@@ -63,15 +63,15 @@
 	calls, bytes := map[string]int64{}, map[string]int64{}
 	for _, l := range loads {
 		for _, r := range l.replicas {
-			calls[r.Name] += r.Calls
+			calls[r.Name] += r.Requests
 			bytes[r.Name] += r.BytesIn + r.BytesOut
-			out.allCalls += float64(r.Calls) / length
+			out.allCalls += float64(r.Requests) / length
 			out.allBytes += float64(r.BytesIn+r.BytesOut) / length
 			out.calls = max(out.calls, float64(calls[r.Name])/length)
 			out.bytes = max(out.bytes, float64(bytes[r.Name])/length)
-			out.busiestCalls = max(out.busiestCalls, r.BusiestCalls)
-			out.busiestBytes = max(out.busiestBytes, r.BusiestBytes)
-			out.refused += r.Refused
+			out.busiestCalls = max(out.busiestCalls, r.PeakRequests)
+			out.busiestBytes = max(out.busiestBytes, r.PeakBytes)
+			out.refused += r.Rejected
 		}
 	}
 	return out
--- a/internal/scale/propagation/real_test.go
+++ b/internal/scale/propagation/real_test.go
@@ -38,7 +38,7 @@
 	if r.accepted != 2 || r.allShown() {
 		t.Fatalf("%d changes to be seen, all shown: %v", r.accepted, r.allShown())
 	}
-	seen("first", registry.NothingKnown, time.Second)
+	seen("first", registry.Unknown, time.Second)
 	seen("stranger", 3, time.Second)
 	seen("other", 3, time.Second)
 	seen("first", 3, 2*time.Second)
--- a/internal/scale/propagation/topology.go
+++ b/internal/scale/propagation/topology.go
@@ -41,7 +41,7 @@
 	for i, number := range []int{0, 1, 3, 4} {
 		z := zones()[number]
 		configs = append(configs, registry.ReplicaConfig{Name: fmt.Sprintf("replica-%d", i+1), Zone: z.name,
-			Region: z.region, CallsPerSecond: callsPerSecond})
+			Region: z.region, RequestRate: callsPerSecond})
 	}
 	return configs
 }
--- a/internal/scale/slopes/subject.go
+++ b/internal/scale/slopes/subject.go
@@ -50,10 +50,10 @@
 		return nil, err
 	}
 	s.endpoints = s.backend.Endpoints(size, scale.DefaultZones())
-	s.registry, err = registry.New(registry.Config{Ask: m.membership == scale.Asked, LogLimit: logLimit,
-		Replicas: []registry.ReplicaConfig{{Name: "replica-1", Zone: zone, Region: region}},
-		Random:   rand.New(rand.NewPCG(env.Seed, seedStride)),
-		Observe:  func(o registry.Observation) { s.taken.raise(o.Complete) }})
+	s.registry, err = registry.New(registry.Config{Poll: m.membership == scale.Asked, LogLimit: logLimit,
+		Replicas:  []registry.ReplicaConfig{{Name: "replica-1", Zone: zone, Region: region}},
+		Random:    rand.New(rand.NewPCG(env.Seed, seedStride)),
+		OnRequest: func(o registry.Observation) { s.taken.raise(o.Complete) }})
 	if err != nil {
 		s.backend.Close()
 		return nil, err
