--- a/cmd/scale/experiments.go
+++ b/cmd/scale/experiments.go
@@ -11,7 +11,7 @@
 	"baylock/internal/scale/slopes"
 )
 
-// experiments are all that the tool can run, in the order in which it lists them.
+// experiments are all experiments, in the order of the list command.
 var experiments = []scale.Experiment{
 	slopes.Experiment,
 	propagation.Experiment,
--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -1,5 +1,5 @@
-// Command scale measures proxies at a size: it runs one experiment at a time on this machine alone, shows the figures
-// beside their targets, and keeps them as JSON.
+// Command scale measures proxies at scale: it runs one experiment at a time on this machine alone, shows the figures with
+// their targets, and stores them as JSON.
 package main
 
 import (
@@ -20,11 +20,11 @@
 const exitFailed = 1
 
 func main() {
-	app := application{experiments: experiments, out: os.Stdout, errors: os.Stderr, endPatience: endPatience}
+	app := application{experiments: experiments, out: os.Stdout, errors: os.Stderr, stopTimeout: stopTimeout}
 	os.Exit(app.main(os.Args[1:]))
 }
 
-// main runs one command and returns the exit code; an error is one line.
+// main runs one command and returns the exit code. It writes an error as one line.
 func (a *application) main(args []string) int {
 	if err := a.run(args); err != nil {
 		fmt.Fprintln(a.errors, "scale: "+oneLine(err))
@@ -33,27 +33,27 @@
 	return 0
 }
 
-// oneLine gives an error as one line.
+// oneLine returns an error's text as one line.
 func oneLine(err error) string {
 	lines := strings.FieldsFunc(err.Error(), func(r rune) bool { return r == '\n' || r == '\r' })
 	return strings.Join(lines, "; ")
 }
 
-// application is what the commands work with.
+// application is the environment of the commands.
 type application struct {
 	experiments []scale.Experiment
 	out, errors io.Writer
-	endPatience time.Duration // an experiment has this long to return once its context has ended
+	stopTimeout time.Duration // for an experiment to return once its context has ended
 }
 
 // commandLine is the tool's command line.
 type commandLine struct {
-	Run    runCommand    `cmd:"" help:"Run one experiment, show its figures and keep them."`
+	Run    runCommand    `cmd:"" help:"Run one experiment, show its figures and store them."`
 	List   listCommand   `cmd:"" help:"List the experiments."`
-	Report reportCommand `cmd:"" help:"Show kept results again."`
+	Report reportCommand `cmd:"" help:"Show stored results."`
 }
 
-const description = "Measures proxies at a size on this machine alone. Nothing leaves loopback, and no process stays behind."
+const description = "Measures proxies at scale on this machine alone. All traffic stays on loopback, and no process outlives a run."
 
 func (a *application) run(args []string) error {
 	var line commandLine
@@ -69,6 +69,7 @@
 	return command.Run(a)
 }
 
+// find returns the experiment with the given name.
 func (a *application) find(name string) (scale.Experiment, error) {
 	var names []string
 	for _, experiment := range a.experiments {
@@ -78,7 +79,7 @@
 		names = append(names, experiment.Name)
 	}
 	slices.Sort(names)
-	return scale.Experiment{}, fmt.Errorf("unknown experiment %q; there are: %s", name, strings.Join(names, ", "))
+	return scale.Experiment{}, fmt.Errorf("unknown experiment %q; known are: %s", name, strings.Join(names, ", "))
 }
 
 type listCommand struct{}
@@ -87,27 +88,27 @@
 func (listCommand) Run(a *application) error {
 	table := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
 	for _, experiment := range a.experiments {
-		fmt.Fprintf(table, "%s\t%s\n", experiment.Name, experiment.Summary) // errors show at Flush
+		fmt.Fprintf(table, "%s\t%s\n", experiment.Name, experiment.Summary) // Flush returns write errors
 	}
 	return table.Flush()
 }
 
 type reportCommand struct {
-	Files    []string `arg:"" optional:"" help:"Kept results; all of the folder's if none is named."`
-	Out      string   `default:"${results}" help:"Folder of kept results."`
+	Files    []string `arg:"" optional:"" help:"Stored results; all of the folder's if none is named."`
+	Out      string   `default:"${results}" help:"Folder of stored results."`
 	Markdown bool     `help:"As Markdown."`
 }
 
-// Run shows kept results.
+// Run shows stored results.
 func (c reportCommand) Run(a *application) error {
 	files := c.Files
 	if len(files) == 0 {
 		var err error
-		if files, err = scale.KeptResults(c.Out); err != nil {
+		if files, err = scale.StoredResults(c.Out); err != nil {
 			return err
 		}
 		if len(files) == 0 {
-			return errors.New("no results are kept in " + c.Out)
+			return errors.New("no stored results in " + c.Out)
 		}
 	}
 	show := scale.WriteTable
@@ -120,7 +121,7 @@
 			return err
 		}
 		if i > 0 {
-			fmt.Fprintln(a.out) // an error shows at the next write
+			fmt.Fprintln(a.out) // the next write returns an error, too
 		}
 		if err := show(a.out, result); err != nil {
 			return err
--- a/cmd/scale/main_test.go
+++ b/cmd/scale/main_test.go
@@ -19,53 +19,53 @@
 	"baylock/internal/scale"
 )
 
-// The test binary stands in for the command, and for the processes that experiments start.
+// The test binary also serves as the command, and as the processes that experiments start.
 const (
-	roleVariable   = "SCALE_TEST_ROLE"
-	meetVariable   = "SCALE_TEST_MEET" // where children report to the test
-	commandRole    = "command"
-	childRole      = "child"
-	stubbornRole   = "stubborn child" // heeds no SIGTERM
-	fakeProxyRole  = "proxy that ends at once"
-	children       = 3
-	hurriedPeriod  = 100 * time.Millisecond // for experiments that never return
-	testPatience   = time.Minute
-	childStartWord = "here\n"
+	roleVariable    = "SCALE_TEST_ROLE"
+	reportVariable  = "SCALE_TEST_REPORT" // address at which children report to the test
+	commandRole     = "command"
+	childRole       = "child"
+	stubbornRole    = "child that ignores SIGTERM"
+	fakeProxyRole   = "proxy that exits at once"
+	childCount      = 3
+	testStopTimeout = 100 * time.Millisecond // for experiments that never return
+	testTimeout     = time.Minute
+	childReport     = "started\n"
 )
 
 func TestMain(m *testing.M) {
 	switch os.Getenv(roleVariable) {
 	case commandRole:
-		app := application{experiments: testExperiments(), out: os.Stdout, errors: os.Stderr, endPatience: hurriedPeriod}
+		app := application{experiments: testExperiments(), out: os.Stdout, errors: os.Stderr, stopTimeout: testStopTimeout}
 		os.Exit(app.main(os.Args[1:]))
 	case childRole:
-		live()
+		runChild()
 	case stubbornRole:
 		signal.Ignore(syscall.SIGTERM)
-		live()
+		runChild()
 	case fakeProxyRole:
-		fmt.Fprintln(os.Stderr, "some word of the program\nno settings here")
+		fmt.Fprintln(os.Stderr, "first line\nno settings here")
 		os.Exit(3)
 	default:
 		os.Exit(m.Run())
 	}
 }
 
-// live reports to the test, and stays until it is ended.
-func live() {
-	conn, err := net.Dial("tcp", os.Getenv(meetVariable))
+// runChild reports to the test, and runs until it is stopped.
+func runChild() {
+	conn, err := net.Dial("tcp", os.Getenv(reportVariable))
 	if err == nil {
-		_, err = io.WriteString(conn, childStartWord)
+		_, err = io.WriteString(conn, childReport)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	_, _ = io.Copy(io.Discard, conn) // to the end of the test
+	_, _ = io.Copy(io.Discard, conn) // until the end of the test
 }
 
 func testExperiments() []scale.Experiment {
-	waits := func(role string) func(context.Context, scale.Env) (scale.Result, error) {
+	waitWith := func(role string) func(context.Context, scale.Env) (scale.Result, error) {
 		return func(ctx context.Context, env scale.Env) (scale.Result, error) {
 			if err := startChildren(ctx, env, role); err != nil {
 				return scale.Result{}, err
@@ -75,20 +75,20 @@
 		}
 	}
 	return []scale.Experiment{
-		{Name: "quick", Summary: "gives two figures at once", Run: quick},
-		{Name: "waits", Summary: "has children until it is ended", Run: waits(childRole)},
-		{Name: "stubborn", Summary: "has children that heed no SIGTERM", Run: waits(stubbornRole)},
-		{Name: "deaf", Summary: "never returns", Run: deaf},
-		{Name: "forgetful", Summary: "returns with its children at work", Run: forgetful},
-		{Name: "greedy", Summary: "takes memory without end", Run: greedy},
-		{Name: "crowded", Summary: "starts processes without end", Run: crowded},
+		{Name: "quick", Summary: "returns two figures at once", Run: quick},
+		{Name: "waiting", Summary: "has children until it is stopped", Run: waitWith(childRole)},
+		{Name: "stubborn", Summary: "has children that ignore SIGTERM", Run: waitWith(stubbornRole)},
+		{Name: "unresponsive", Summary: "never returns", Run: unresponsive},
+		{Name: "leaking", Summary: "returns while its children run", Run: leaking},
+		{Name: "memory", Summary: "uses memory without end", Run: useMemory},
+		{Name: "processes", Summary: "starts processes without end", Run: startProcesses},
 		{Name: "panics", Summary: "has children and panics", Run: panics},
 		{Name: "proxied", Summary: "starts a real proxy", NeedsProxy: true, Run: proxied},
 	}
 }
 
 func startChildren(ctx context.Context, env scale.Env, role string) error {
-	for range children {
+	for range childCount {
 		_, err := scale.StartProgram(ctx, env, scale.Program{Path: os.Args[0], Env: []string{roleVariable + "=" + role}})
 		if err != nil {
 			return err
@@ -100,38 +100,38 @@
 func quick(_ context.Context, env scale.Env) (scale.Result, error) {
 	env.Progress("half of %d", 2)
 	return scale.Result{Figures: []scale.Figure{
-		{Case: "idle", Quantity: "memory", Unit: "MiB", Value: 33, Target: scale.Target(32), Source: scale.StandIn},
-		{Case: "idle", Quantity: "draw", Unit: "of 1", Value: float64(env.Seed), Source: scale.StandIn, Samples: 2},
+		{Case: "idle", Quantity: "memory", Unit: "MiB", Value: 33, Target: scale.Target(32), Source: scale.Emulator},
+		{Case: "idle", Quantity: "draw", Unit: "of 1", Value: float64(env.Seed), Source: scale.Emulator, Samples: 2},
 	}, Notes: []string{"a note"}}, nil
 }
 
-func deaf(ctx context.Context, env scale.Env) (scale.Result, error) {
+func unresponsive(ctx context.Context, env scale.Env) (scale.Result, error) {
 	if err := startChildren(ctx, env, childRole); err != nil {
 		return scale.Result{}, err
 	}
 	select {}
 }
 
-func forgetful(ctx context.Context, env scale.Env) (scale.Result, error) {
+func leaking(ctx context.Context, env scale.Env) (scale.Result, error) {
 	return scale.Result{}, startChildren(ctx, env, childRole)
 }
 
-func greedy(ctx context.Context, env scale.Env) (scale.Result, error) {
+func useMemory(ctx context.Context, env scale.Env) (scale.Result, error) {
 	if err := startChildren(ctx, env, childRole); err != nil {
 		return scale.Result{}, err
 	}
-	const piece, most = 8 << 20, 64 // 512 MiB in all, should the limit not hold
-	var taken [][]byte
-	for len(taken) < most {
-		taken = append(taken, bytes.Repeat([]byte{1}, piece))
+	const blockBytes, maxBlocks = 8 << 20, 64 // 512 MiB in all, if the limit fails
+	var blocks [][]byte
+	for len(blocks) < maxBlocks {
+		blocks = append(blocks, bytes.Repeat([]byte{1}, blockBytes))
 	}
 	<-ctx.Done()
-	return scale.Result{Notes: []string{fmt.Sprint(len(taken))}}, ctx.Err()
+	return scale.Result{Notes: []string{fmt.Sprint(len(blocks))}}, ctx.Err()
 }
 
-func crowded(ctx context.Context, env scale.Env) (scale.Result, error) {
+func startProcesses(ctx context.Context, env scale.Env) (scale.Result, error) {
 	for {
-		if err := env.Budget.StartProcess(ctx); err != nil {
+		if err := env.Budget.AcquireProcess(ctx); err != nil {
 			return scale.Result{}, err
 		}
 	}
@@ -141,9 +141,9 @@
 	if err := startChildren(ctx, env, childRole); err != nil {
 		return scale.Result{}, err
 	}
-	// The test lets it go on once it has seen all children.
+	// The test writes a line once all children have reported.
 	_, _ = bufio.NewReader(os.Stdin).ReadString('\n')
-	panic("a fault of the experiment")
+	panic("fault of the experiment")
 }
 
 func proxied(ctx context.Context, env scale.Env) (scale.Result, error) {
@@ -152,33 +152,33 @@
 	return scale.Result{}, err
 }
 
-// run is the command at work in a process of its own.
-type run struct {
+// commandRun is the command in a process of its own.
+type commandRun struct {
 	t       *testing.T
 	command *exec.Cmd
 	stdin   io.WriteCloser
 	out     bytes.Buffer
 	errors  bytes.Buffer
-	meet    net.Listener
+	reports net.Listener // of the children
 	folder  string
 }
 
-func begin(t *testing.T, args ...string) *run {
+func startCommand(t *testing.T, args ...string) *commandRun {
 	t.Helper()
-	return beginIn(t, t.TempDir(), nil, args...)
+	return startCommandIn(t, t.TempDir(), nil, args...)
 }
 
-func beginIn(t *testing.T, folder string, env []string, args ...string) *run {
+func startCommandIn(t *testing.T, folder string, env []string, args ...string) *commandRun {
 	t.Helper()
-	meet, err := net.Listen("tcp", "127.0.0.1:0")
+	reports, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { meet.Close() })
-	r := &run{t: t, meet: meet, folder: folder, command: exec.Command(os.Args[0], args...)}
+	t.Cleanup(func() { reports.Close() })
+	r := &commandRun{t: t, reports: reports, folder: folder, command: exec.Command(os.Args[0], args...)}
 	r.command.Dir = folder
-	r.command.Env = append(os.Environ(), roleVariable+"="+commandRole, meetVariable+"="+meet.Addr().String(),
-		"TMPDIR="+t.TempDir(),      // a command that is killed leaves its folder behind
+	r.command.Env = append(os.Environ(), roleVariable+"="+commandRole, reportVariable+"="+reports.Addr().String(),
+		"TMPDIR="+t.TempDir(),      // a command that is killed leaves its folder
 		"GORACE=atexit_sleep_ms=0") // the race detector would have each command wait a second at its end
 	r.command.Env = append(r.command.Env, env...)
 	r.command.Stdout, r.command.Stderr = &r.out, &r.errors
@@ -191,52 +191,52 @@
 	return r
 }
 
-// child is the connection of a child that lives; it ends with the child.
+// child is the connection of a child; it ends with the child.
 type child struct{ net.Conn }
 
-// children waits until all children have reported.
-func (r *run) children() []child {
+// waitForChildren waits until all children have reported.
+func (r *commandRun) waitForChildren() []child {
 	r.t.Helper()
-	_ = r.meet.(*net.TCPListener).SetDeadline(time.Now().Add(testPatience))
+	_ = r.reports.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
 	var list []child
-	for range children {
-		conn, err := r.meet.Accept()
+	for range childCount {
+		conn, err := r.reports.Accept()
 		if err != nil {
-			r.t.Fatalf("a child did not report: %v; %s", err, r.errors.String())
+			r.t.Fatalf("a child did not report: %v; error output %q", err, r.errors.String())
 		}
 		r.t.Cleanup(func() { conn.Close() })
-		_ = conn.SetDeadline(time.Now().Add(testPatience))
-		if word, err := bufio.NewReader(conn).ReadString('\n'); err != nil || word != childStartWord {
-			r.t.Fatalf("a child said %q, %v", word, err)
+		_ = conn.SetDeadline(time.Now().Add(testTimeout))
+		if word, err := bufio.NewReader(conn).ReadString('\n'); err != nil || word != childReport {
+			r.t.Fatalf("a child reported %q, %v", word, err)
 		}
 		list = append(list, child{conn})
 	}
 	return list
 }
 
-// expectGone fails if a child outlives the command.
-func (r *run) expectGone(list []child) {
+// expectEnded fails if a child outlives the command.
+func (r *commandRun) expectEnded(list []child) {
 	r.t.Helper()
 	for i, c := range list {
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF && !strings.Contains(fmt.Sprint(err), "reset") {
-			r.t.Errorf("child %d is still there: %v", i, err)
+			r.t.Errorf("child %d still runs: %v", i, err)
 		}
 	}
 }
 
-// end waits for the command and returns its exit code.
-func (r *run) end() int {
+// wait waits for the command and returns its exit code.
+func (r *commandRun) wait() int {
 	r.t.Helper()
-	late := time.AfterFunc(testPatience, func() { _ = r.command.Process.Kill() })
-	defer late.Stop()
-	_ = r.command.Wait() // the exit code tells
+	timeout := time.AfterFunc(testTimeout, func() { _ = r.command.Process.Kill() })
+	defer timeout.Stop()
+	_ = r.command.Wait() // the exit code says the same
 	return r.command.ProcessState.ExitCode()
 }
 
-// expectOneLine fails unless the command ended in vain with one line on standard error that has these words.
-func (r *run) expectOneLine(words ...string) {
+// expectFailure fails unless the command failed with one line of error output that contains the words, and stored no result.
+func (r *commandRun) expectFailure(words ...string) {
 	r.t.Helper()
-	code := r.end()
+	code := r.wait()
 	text := r.errors.String()
 	if code != exitFailed || strings.Count(text, "\n") != 1 || !strings.HasPrefix(text, "scale: ") {
 		r.t.Errorf("exit code %d, error output %q", code, text)
@@ -246,17 +246,17 @@
 			r.t.Errorf("%q is not in %q", word, text)
 		}
 	}
-	if kept, _ := scale.KeptResults(filepath.Join(r.folder, defaultFolder)); len(kept) > 0 {
-		r.t.Errorf("kept %v", kept)
+	if stored, _ := scale.StoredResults(filepath.Join(r.folder, defaultFolder)); len(stored) > 0 {
+		r.t.Errorf("stored %v", stored)
 	}
 }
 
-func TestWhatCannotBeDoneIsOneLine(t *testing.T) {
+func TestCommandFailureGivesOneErrorLine(t *testing.T) {
 	for _, c := range []struct {
 		args []string
 		want string
 	}{
-		{[]string{"run", "nothing"}, `unknown experiment "nothing"; there are: crowded, deaf`},
+		{[]string{"run", "nothing"}, `unknown experiment "nothing"; known are: leaking, memory, panics`},
 		{[]string{"run", "quick", "--speed", "9"}, "unknown flag --speed"},
 		{[]string{"run", "quick", "--seed", "low"}, "--seed"},
 		{[]string{"run", "quick", "--timeout", "0s"}, "--timeout 0s"},
@@ -268,52 +268,52 @@
 		{[]string{"walk"}, "walk"},
 		{[]string{"report", "absent.json"}, "absent.json"},
 		{[]string{"report"}, defaultFolder},
-		{[]string{"run", "crowded"}, "limit: 300 processes at once"},
+		{[]string{"run", "processes"}, "limit: 300 processes at once"},
 	} {
 		t.Run(strings.Join(c.args, " "), func(t *testing.T) {
-			begin(t, c.args...).expectOneLine(c.want)
+			startCommand(t, c.args...).expectFailure(c.want)
 		})
 	}
 }
 
-func TestAResultIsShownAndKept(t *testing.T) {
-	r := begin(t, "run", "quick", "--seed", "7")
-	if code := r.end(); code != 0 || !strings.Contains(r.errors.String(), "half of 2") {
+func TestRunShowsAndStoresResult(t *testing.T) {
+	r := startCommand(t, "run", "quick", "--seed", "7")
+	if code := r.wait(); code != 0 || !strings.Contains(r.errors.String(), "half of 2") {
 		t.Fatalf("exit code %d, error output %q", code, r.errors.String())
 	}
-	kept, err := scale.KeptResults(filepath.Join(r.folder, defaultFolder))
-	if err != nil || len(kept) != 1 {
-		t.Fatalf("kept %v, %v", kept, err)
+	stored, err := scale.StoredResults(filepath.Join(r.folder, defaultFolder))
+	if err != nil || len(stored) != 1 {
+		t.Fatalf("stored %v, %v", stored, err)
 	}
-	result, err := scale.ReadResult(kept[0])
+	result, err := scale.ReadResult(stored[0])
 	if err != nil {
 		t.Fatal(err)
 	}
 	if result.Experiment != "quick" || result.Seed != 7 || len(result.Figures) != 2 || result.Figures[1].Value != 7 ||
 		result.Started.IsZero() || len(result.Machine.Allowed) == 0 {
-		t.Errorf("kept %+v", result)
+		t.Errorf("stored %+v", result)
 	}
-	report := beginIn(t, r.folder, nil, "report")
-	if code := report.end(); code != 0 || !strings.HasPrefix(r.out.String(), report.out.String()) {
-		t.Errorf("exit code %d: the report %q is not what was shown first, %q", code, report.out.String(), r.out.String())
+	report := startCommandIn(t, r.folder, nil, "report")
+	if code := report.wait(); code != 0 || !strings.HasPrefix(r.out.String(), report.out.String()) {
+		t.Errorf("exit code %d: got the report %q, want the beginning of %q", code, report.out.String(), r.out.String())
 	}
-	markdown := beginIn(t, r.folder, nil, "report", "--markdown", kept[0])
+	markdown := startCommandIn(t, r.folder, nil, "report", "--markdown", stored[0])
 	row := "| idle | memory | 33 | MiB | <= 32 | NO | stand-in |  |"
-	if code := markdown.end(); code != 0 || !strings.Contains(markdown.out.String(), row) {
+	if code := markdown.wait(); code != 0 || !strings.Contains(markdown.out.String(), row) {
 		t.Errorf("exit code %d: no row %q in %q", code, row, markdown.out.String())
 	}
 }
 
-func TestExperimentsAreListed(t *testing.T) {
-	r := begin(t, "list")
-	if code := r.end(); code != 0 || strings.Count(r.out.String(), "\n") != len(testExperiments()) {
+func TestListShowsEveryExperiment(t *testing.T) {
+	r := startCommand(t, "list")
+	if code := r.wait(); code != 0 || strings.Count(r.out.String(), "\n") != len(testExperiments()) {
 		t.Errorf("exit code %d: %q", code, r.out.String())
 	}
 }
 
-func TestHelpNamesTheFlags(t *testing.T) {
-	r := begin(t, "run", "--help")
-	code := r.end()
+func TestRunHelpNamesFlags(t *testing.T) {
+	r := startCommand(t, "run", "--help")
+	code := r.wait()
 	for _, flag := range []string{"--seed", "--small", "--out", "--proxy", "--timeout", "--cpus", "--memory-mb"} {
 		if !strings.Contains(r.out.String(), flag) {
 			t.Errorf("%s is not in %q", flag, r.out.String())
@@ -324,103 +324,105 @@
 	}
 }
 
-func TestNothingIsLeftAfterASignal(t *testing.T) {
-	for _, name := range []string{"waits", "deaf"} {
+func TestSignalEndsChildren(t *testing.T) {
+	for _, name := range []string{"waiting", "unresponsive"} {
 		for _, signal := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM} {
 			t.Run(name+" "+signal.String(), func(t *testing.T) {
-				r := begin(t, "run", name)
-				list := r.children()
+				r := startCommand(t, "run", name)
+				list := r.waitForChildren()
 				if err := r.command.Process.Signal(signal); err != nil {
 					t.Fatal(err)
 				}
-				r.expectOneLine("ended by a signal: " + signal.String())
-				r.expectGone(list)
+				r.expectFailure("ended by a signal: " + signal.String())
+				r.expectEnded(list)
 			})
 		}
 	}
 }
 
-func TestNothingIsLeftOfProcessesThatHeedNoSignal(t *testing.T) {
+func TestSignalEndsChildrenThatIgnoreSIGTERM(t *testing.T) {
 	t.Parallel()
-	r := begin(t, "run", "stubborn")
-	list := r.children()
+	r := startCommand(t, "run", "stubborn")
+	list := r.waitForChildren()
 	if err := r.command.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	r.expectOneLine("ended by a signal")
-	r.expectGone(list)
+	r.expectFailure("ended by a signal")
+	r.expectEnded(list)
 }
 
-func TestNothingIsLeftAfterTheTime(t *testing.T) {
+func TestTimeoutEndsChildren(t *testing.T) {
 	t.Parallel()
-	r := begin(t, "run", "waits", "--timeout", "8s") // time enough for the children to report
-	list := r.children()
-	r.expectOneLine("passed its limit: a time of 8s (--timeout)")
-	r.expectGone(list)
+	r := startCommand(t, "run", "waiting", "--timeout", "8s") // long enough for the children to report
+	list := r.waitForChildren()
+	r.expectFailure("exceeded its limit: a time of 8s (--timeout)")
+	r.expectEnded(list)
 }
 
-func TestNothingIsLeftOverTheMemory(t *testing.T) {
-	r := begin(t, "run", "greedy", "--memory-mb", "300")
-	list := r.children()
-	r.expectOneLine("passed its limit: 300 MiB of memory")
-	r.expectGone(list)
+func TestMemoryLimitEndsChildren(t *testing.T) {
+	r := startCommand(t, "run", "memory", "--memory-mb", "300")
+	list := r.waitForChildren()
+	r.expectFailure("exceeded its limit: 300 MiB of memory")
+	r.expectEnded(list)
 }
 
-func TestNothingIsLeftWhereTheExperimentForgets(t *testing.T) {
-	r := begin(t, "run", "forgetful")
-	if code := r.end(); code != 0 {
+func TestRunEndsChildrenOfReturnedExperiment(t *testing.T) {
+	r := startCommand(t, "run", "leaking")
+	if code := r.wait(); code != 0 {
 		t.Errorf("exit code %d: %s", code, r.errors.String())
 	}
-	r.expectNoneWaiting()
+	r.expectNoChild()
 }
 
-// expectNoneWaiting fails if a child that had reported, or had begun to, is still there.
-func (r *run) expectNoneWaiting() {
+// expectNoChild fails if a child that has reported, or is about to, still runs.
+func (r *commandRun) expectNoChild() {
 	r.t.Helper()
-	_ = r.meet.(*net.TCPListener).SetDeadline(time.Now().Add(hurriedPeriod))
+	_ = r.reports.(*net.TCPListener).SetDeadline(time.Now().Add(testStopTimeout))
 	for {
-		conn, err := r.meet.Accept()
+		conn, err := r.reports.Accept()
 		if err != nil {
 			return
 		}
-		r.expectGoneAfterWord(conn)
+		r.expectEndedAfterReport(conn)
 	}
 }
 
-func (r *run) expectGoneAfterWord(conn net.Conn) {
+func (r *commandRun) expectEndedAfterReport(conn net.Conn) {
 	r.t.Helper()
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(testPatience))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.ReadAll(conn); err != nil && !strings.Contains(err.Error(), "reset") {
-		r.t.Errorf("a child is still there: %v", err)
+		r.t.Errorf("a child still runs: %v", err)
 	}
 }
 
-func TestNothingIsLeftAfterAPanicOrAKill(t *testing.T) {
-	r := begin(t, "run", "panics")
-	list := r.children()
+func TestPanicEndsChildren(t *testing.T) {
+	r := startCommand(t, "run", "panics")
+	list := r.waitForChildren()
 	if _, err := io.WriteString(r.stdin, "\n"); err != nil {
 		t.Fatal(err)
 	}
-	if code := r.end(); code == 0 {
+	if code := r.wait(); code == 0 {
 		t.Error("exit code 0")
 	}
-	r.expectGone(list)
+	r.expectEnded(list)
+}
 
-	r = begin(t, "run", "waits")
-	list = r.children()
+func TestKillEndsChildren(t *testing.T) {
+	r := startCommand(t, "run", "waiting")
+	list := r.waitForChildren()
 	if err := r.command.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	r.end()
-	r.expectGone(list)
+	r.wait()
+	r.expectEnded(list)
 }
 
-func TestAProxyThatEndsIsOneLine(t *testing.T) {
+func TestProxyExitGivesOneErrorLine(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "proxy")
 	script := fmt.Sprintf("#!/bin/sh\n%s=%q exec %q\n", roleVariable, fakeProxyRole, os.Args[0])
 	if err := os.WriteFile(program, []byte(script), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	begin(t, "run", "proxied", "--proxy", program).expectOneLine("proxy p", "exit status 3", "no settings here")
+	startCommand(t, "run", "proxied", "--proxy", program).expectFailure("proxy p", "exit status 3", "no settings here")
 }
--- a/cmd/scale/progress.go
+++ b/cmd/scale/progress.go
@@ -8,14 +8,15 @@
 	"time"
 )
 
-// progress shows where a long run is: one line that is written over on a terminal, a line each elsewhere.
+// progress shows the progress of a run: one line that is overwritten on a terminal, separate lines elsewhere.
 type progress struct {
-	mu       sync.Mutex
+	mu       sync.Mutex // guards writes to out
 	out      io.Writer
 	terminal bool
 	started  time.Time
 }
 
+// eraseLine is the terminal's sequence to return to the start of a line and clear it.
 const eraseLine = "\r\033[K"
 
 func newProgress(out io.Writer, started time.Time) *progress {
@@ -31,7 +32,7 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// show shows one line. An error of writing it is no reason to end a run.
+// show shows one line. Write errors are ignored, as they are no reason to end a run.
 func (p *progress) show(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -43,7 +44,7 @@
 	fmt.Fprintln(p.out, line)
 }
 
-// clear takes the line away.
+// clear removes the line from a terminal.
 func (p *progress) clear() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/cmd/scale/run.go
+++ b/cmd/scale/run.go
@@ -18,21 +18,21 @@
 const (
 	defaultTimeout = 10 * time.Minute
 	defaultFolder  = "results"
-	endPatience    = 10 * time.Second
+	stopTimeout    = 10 * time.Second // for an experiment to return once its context has ended
 )
 
 type runCommand struct {
 	Experiment string        `arg:"" help:"Name of the experiment; see the list command."`
-	Seed       uint64        `default:"1" help:"For every random draw."`
-	Small      bool          `help:"A small and short form of the experiment, to try it."`
-	Out        string        `default:"${results}" help:"Folder that takes the result as a JSON file."`
+	Seed       uint64        `default:"1" help:"Of all random draws."`
+	Small      bool          `help:"A small and short form of the experiment."`
+	Out        string        `default:"${results}" help:"Folder for the result, a JSON file."`
 	Proxy      string        `placeholder:"FILE" help:"Program of the real proxy (default: ${program}, here or at the top of the repository)."`
-	Timeout    time.Duration `default:"${timeout}" help:"The run ends after this, whatever it has."`
-	CPUs       []int         `name:"cpus" placeholder:"N,..." help:"Cores for the tool and for what it starts (default: those that it may use)."`
-	MemoryMB   int64         `name:"memory-mb" placeholder:"MB" help:"Memory of the whole run at most; never more than half of the machine's."`
+	Timeout    time.Duration `default:"${timeout}" help:"Time limit of the run."`
+	CPUs       []int         `name:"cpus" placeholder:"N,..." help:"Cores for the tool and its processes (default: those that it may use)."`
+	MemoryMB   int64         `name:"memory-mb" placeholder:"MB" help:"Memory limit of the run; at most half of the machine's."`
 }
 
-// Run runs one experiment, shows its result and keeps it.
+// Run runs one experiment, shows its result and stores it.
 func (c runCommand) Run(a *application) error {
 	experiment, err := a.find(c.Experiment)
 	if err != nil {
@@ -50,23 +50,27 @@
 	started := time.Now()
 	progress := newProgress(a.errors, started)
 	env.Progress = progress.show
-	result, err := c.perform(experiment, env, a.endPatience)
+	result, err := c.perform(experiment, env, a.stopTimeout)
 	progress.clear()
 	if err != nil {
 		return fmt.Errorf("%s: %w", experiment.Name, err)
 	}
-	result.Experiment, result.Started, result.Took = experiment.Name, started, time.Since(started)
-	result.Seed, result.Small, result.Commit = c.Seed, c.Small, commits.of(result)
+	result.Experiment = experiment.Name
+	result.Started = started
+	result.Duration = time.Since(started)
+	result.Seed = c.Seed
+	result.Small = c.Small
+	result.Commit = commits.of(result)
 	result.Machine = machine(env.Cores)
-	return c.keep(a, result)
+	return c.store(a, result)
 }
 
-// environment checks the flags and makes what the experiment is given, but for its folder and progress.
+// environment checks the flags and returns the experiment's environment, without its folder and progress.
 func (c runCommand) environment(a *application, experiment scale.Experiment) (scale.Env, error) {
 	env := scale.Env{Seed: c.Seed, Small: c.Small, Budget: scale.NewBudget(),
 		Log: slog.New(slog.NewTextHandler(a.errors, &slog.HandlerOptions{Level: slog.LevelWarn}))}
 	if c.Timeout <= 0 {
-		return env, fmt.Errorf("--timeout %v: a run has to have a time", c.Timeout)
+		return env, fmt.Errorf("--timeout %v: want a positive time", c.Timeout)
 	}
 	if c.MemoryMB < 0 {
 		return env, fmt.Errorf("--memory-mb %d: negative", c.MemoryMB)
@@ -79,13 +83,13 @@
 		return env, err
 	}
 	if experiment.NeedsProxy && env.ProxyProgram == "" {
-		return env, scale.ErrNoProxy
+		return env, scale.ErrProxyMissing
 	}
 	env.Cores, err = c.cores()
 	return env, err
 }
 
-// cores gives the cores of the run, and keeps the tool on them.
+// cores returns the cores of the run, and restricts the tool to them.
 func (c runCommand) cores() ([]int, error) {
 	allowed, err := scale.AllowedCores()
 	if err != nil || len(c.CPUs) == 0 {
@@ -93,27 +97,27 @@
 	}
 	for i, core := range c.CPUs {
 		if !slices.Contains(allowed, core) {
-			return nil, fmt.Errorf("--cpus: core %d is not among those that the tool may use, %v", core, allowed)
+			return nil, fmt.Errorf("--cpus: core %d is not one of those that the tool may use, %v", core, allowed)
 		}
 		if slices.Contains(c.CPUs[:i], core) {
-			return nil, fmt.Errorf("--cpus: core %d is named twice", core)
+			return nil, fmt.Errorf("--cpus: duplicate core %d", core)
 		}
 	}
 	return c.CPUs, scale.RunOn(c.CPUs)
 }
 
-// outcome is what an experiment has returned.
+// outcome is the return of an experiment.
 type outcome struct {
 	result scale.Result
 	err    error
 }
 
-// perform runs the experiment within the limits of a run. Whatever it started has ended when perform returns.
-func (c runCommand) perform(experiment scale.Experiment, env scale.Env, patience time.Duration) (scale.Result, error) {
+// perform runs the experiment within the limits of a run. All of its processes have ended when perform returns.
+func (c runCommand) perform(experiment scale.Experiment, env scale.Env, stopTimeout time.Duration) (scale.Result, error) {
 	ctx, stopSignals := cancelOnSignal(context.Background())
 	defer stopSignals()
 	ctx, cancelTimeout := context.WithTimeoutCause(ctx, c.Timeout,
-		&scale.LimitError{What: fmt.Sprintf("a time of %v (--timeout)", c.Timeout)})
+		&scale.LimitError{Limit: fmt.Sprintf("a time of %v (--timeout)", c.Timeout)})
 	defer cancelTimeout()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -130,26 +134,26 @@
 	}()
 	select {
 	case o := <-returned:
-		return o.result, ended(ctx, o.err)
+		return o.result, causeOf(ctx, o.err)
 	case <-ctx.Done():
 	}
 	select {
-	case <-returned: // a result that came after the end is not one of a whole run
+	case <-returned: // a result after the end of the context is not complete
 		return scale.Result{}, context.Cause(ctx)
-	case <-time.After(patience):
-		return scale.Result{}, fmt.Errorf("%w; the experiment did not end by itself", context.Cause(ctx))
+	case <-time.After(stopTimeout):
+		return scale.Result{}, fmt.Errorf("%w; the experiment did not stop", context.Cause(ctx))
 	}
 }
 
-// ended gives the reason of a run's end in place of the errors that follow from it.
-func ended(ctx context.Context, err error) error {
+// causeOf returns why the context ended in place of the errors that follow from that.
+func causeOf(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
 	}
 	return err
 }
 
-// cancelOnSignal returns a context that ends with SIGINT, SIGTERM or SIGHUP.
+// cancelOnSignal returns a context that ends on SIGINT, SIGTERM or SIGHUP.
 func cancelOnSignal(parent context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(parent)
 	signals := make(chan os.Signal, 1)
@@ -167,16 +171,16 @@
 	}
 }
 
-// keep shows a result and writes it to the folder.
-func (c runCommand) keep(a *application, result scale.Result) error {
+// store shows a result and stores it in the folder.
+func (c runCommand) store(a *application, result scale.Result) error {
 	if err := scale.WriteTable(a.out, result); err != nil {
 		return err
 	}
 	path, err := result.Write(c.Out)
 	if err != nil {
-		return fmt.Errorf("keep the result: %w", err)
+		return fmt.Errorf("store the result: %w", err)
 	}
-	_, err = fmt.Fprintln(a.out, "kept in "+path)
+	_, err = fmt.Fprintln(a.out, "stored in "+path)
 	return err
 }
 
--- a/cmd/scale/source.go
+++ b/cmd/scale/source.go
@@ -16,17 +16,17 @@
 
 const (
 	defaultProgram = "bin/baylock"
-	changedSuffix  = "+changes"
+	changedSuffix  = "+changes" // of a commit with uncommitted changes
 )
 
-// findProxy gives the path of the real proxy's program: the one that was asked for, or the default in the working
-// folder or at the top of the repository. It is empty if none was asked for and there is none.
-func findProxy(asked string) (string, error) {
-	if asked != "" {
-		if !isProgram(asked) {
-			return "", fmt.Errorf("--proxy %s: no such program; build it with: %s", asked, scale.BuildCommand)
+// findProxy returns the path of the real proxy's program: the given one, else the default in the working folder or at the
+// top of the repository. It is empty if none is given and there is none.
+func findProxy(given string) (string, error) {
+	if given != "" {
+		if !isProgram(given) {
+			return "", fmt.Errorf("--proxy %s: no such program; build it with: %s", given, scale.BuildCommand)
 		}
-		return filepath.Abs(asked)
+		return filepath.Abs(given)
 	}
 	folder, err := os.Getwd()
 	if err != nil {
@@ -46,18 +46,18 @@
 
 func isProgram(path string) bool {
 	info, err := os.Stat(path)
-	const anyone = 0o111
-	return err == nil && info.Mode().IsRegular() && info.Mode()&anyone != 0
+	const executable = 0o111
+	return err == nil && info.Mode().IsRegular() && info.Mode()&executable != 0
 }
 
-// sources are the commits of what a run can measure, as they are when it begins.
+// sources are the commits of the programs of a run, when it begins.
 type sources struct {
 	proxy string // of the real proxy's program
 	tool  string
 }
 
-// findSources reads the stamps of the go command in both programs. Where one bears none, as after go run or in a linked
-// worktree, its commit is that of the working folder.
+// findSources reads the build information of both programs. Without a commit in it, as after go run or in a linked
+// worktree, the commit is that of the working folder.
 func findSources(program string) sources {
 	working := sync.OnceValue(workingCommit)
 	own, _ := debug.ReadBuildInfo()
@@ -69,7 +69,7 @@
 		return found
 	}
 	info, err := buildinfo.ReadFile(program)
-	if err != nil { // no program of Go
+	if err != nil { // not a Go program
 		return found
 	}
 	if found.proxy = stampedCommit(info); found.proxy == "" {
@@ -78,7 +78,7 @@
 	return found
 }
 
-// of names the commit of what a result was measured on.
+// of returns the commit of the program that a result was measured on.
 func (s sources) of(result scale.Result) string {
 	isReal := func(f scale.Figure) bool { return f.Source == scale.RealProxy }
 	if slices.ContainsFunc(result.Figures, isReal) {
@@ -87,7 +87,7 @@
 	return s.tool
 }
 
-// stampedCommit reads the commit that the go command has put in a program; empty if there is none.
+// stampedCommit returns the commit in a program's build information; empty if there is none.
 func stampedCommit(info *debug.BuildInfo) string {
 	if info == nil {
 		return ""
@@ -107,7 +107,7 @@
 	return commit + changed
 }
 
-// workingCommit asks git for the commit of the working folder.
+// workingCommit returns the commit of the working folder, according to git.
 func workingCommit() string {
 	commit, err := exec.Command("git", "rev-parse", "HEAD").Output()
 	if err != nil { // no repository, or no git
--- a/internal/scale/admission/admission_test.go
+++ b/internal/scale/admission/admission_test.go
@@ -28,7 +28,7 @@
 		for _, f := range result.Figures {
 			t.Logf("%s: %s %.4f", f.Case, f.Quantity, f.Value)
 			near := f.Case == cases[1].name || f.Case == cases[2].name
-			if !f.Meets() && !(near && f.Value <= 2**f.Target) {
+			if !f.MeetsTarget() && !(near && f.Value <= 2**f.Target) {
 				t.Errorf("figure %+v misses its target", f)
 			}
 		}
@@ -56,7 +56,7 @@
 	for _, c := range cases {
 		missed := 0
 		for _, f := range figures(fullSize, c, seen) {
-			if !f.Meets() {
+			if !f.MeetsTarget() {
 				missed++
 			}
 		}
--- a/internal/scale/affinity.go
+++ b/internal/scale/affinity.go
@@ -11,18 +11,21 @@
 	"unsafe"
 )
 
-const maxCores = 1024
+const (
+	maxCores = 1024 // that a coreMask can hold
+	wordBits = 64
+)
 
-// coreMask is the kernel's set of cores.
-type coreMask [maxCores / 64]uint64
+// coreMask is a set of cores in the kernel's format.
+type coreMask [maxCores / wordBits]uint64
 
 func maskOf(cores []int) (coreMask, error) {
 	var mask coreMask
 	for _, core := range cores {
 		if core < 0 || core >= maxCores {
-			return mask, fmt.Errorf("core %d: no such core", core)
+			return mask, fmt.Errorf("core %d: out of range", core)
 		}
-		mask[core/64] |= 1 << (core % 64)
+		mask[core/wordBits] |= 1 << (core % wordBits)
 	}
 	return mask, nil
 }
@@ -30,14 +33,14 @@
 func (m coreMask) cores() []int {
 	var list []int
 	for core := range maxCores {
-		if m[core/64]&(1<<(core%64)) != 0 {
+		if m[core/wordBits]&(1<<(core%wordBits)) != 0 {
 			list = append(list, core)
 		}
 	}
 	return list
 }
 
-// threadMask reads the cores on which a thread may run; 0 is the calling one.
+// threadMask returns the cores on which a thread may run; 0 is the calling thread.
 func threadMask(thread int) (coreMask, error) {
 	var mask coreMask
 	_, _, errno := syscall.RawSyscall(syscall.SYS_SCHED_GETAFFINITY, uintptr(thread), unsafe.Sizeof(mask),
@@ -57,7 +60,7 @@
 	return nil
 }
 
-// MachineCores counts the cores of the machine, also those that the tool may not use.
+// MachineCores returns the number of the machine's cores, those included that the tool may not use.
 func MachineCores() int {
 	folders, err := filepath.Glob("/sys/devices/system/cpu/cpu[0-9]*")
 	if err != nil || len(folders) == 0 {
@@ -66,28 +69,28 @@
 	return len(folders)
 }
 
-// AllowedCores lists the cores on which the tool may run.
+// AllowedCores returns the cores on which the tool may run.
 func AllowedCores() ([]int, error) {
 	mask, err := threadMask(0)
 	return mask.cores(), err
 }
 
-// sleepers are goroutines that may hold a place of the scheduler while they sleep in the kernel, as those do that pace
-// load.
-const sleepers = 2
+// pacingGoroutines is the number of goroutines that may occupy a processor of the scheduler while they sleep in the kernel,
+// as load generators do.
+const pacingGoroutines = 2
 
-// RunOn keeps every thread of the tool on these cores.
+// RunOn restricts every thread of the tool to the given cores.
 func RunOn(cores []int) error {
 	mask, err := maskOf(cores)
 	if err != nil {
 		return err
 	}
-	for range 2 { // a thread that was begun during the first pass may have the old set
+	for range 2 { // a thread that starts during the first pass may have the old set
 		if err := setAllThreads(mask); err != nil {
 			return err
 		}
 	}
-	runtime.GOMAXPROCS(len(cores) + sleepers)
+	runtime.GOMAXPROCS(len(cores) + pacingGoroutines)
 	return nil
 }
 
@@ -108,9 +111,9 @@
 	return nil
 }
 
-// Apart keeps the tool on all cores of the run but the last while it measures; that one is left to the proxies that are
-// measured. With one core they share it. The tool has all cores of the run again when Apart returns.
-func Apart(cores []int, measure func(forProxies []int) (Result, error)) (result Result, err error) {
+// WithSeparateCores calls measure with the last of the cores, for the proxies, while the tool is restricted to the others.
+// With one core they share it. The tool may use all of the cores again when WithSeparateCores returns.
+func WithSeparateCores(cores []int, measure func(forProxies []int) (Result, error)) (result Result, err error) {
 	if len(cores) < 2 {
 		return measure(cores)
 	}
@@ -119,8 +122,8 @@
 		return Result{}, err
 	}
 	defer func() {
-		if undoErr := RunOn(cores); err == nil {
-			err = undoErr
+		if restoreErr := RunOn(cores); err == nil {
+			err = restoreErr
 		}
 	}()
 	return measure(cores[last:])
--- a/internal/scale/budget.go
+++ b/internal/scale/budget.go
@@ -7,63 +7,63 @@
 	"time"
 )
 
-// MostProcesses is how many processes a run may have at once.
-const MostProcesses = 300
+// MaxProcesses is the number of processes that a run may have at once.
+const MaxProcesses = 300
 
 const (
-	memoryPart      = 2 // a run may have one part in so many of the machine's memory
-	memoryLookEvery = 500 * time.Millisecond
+	memoryDivisor       = 2 // a run may use the machine's memory divided by this
+	memoryCheckInterval = 500 * time.Millisecond
 )
 
-// LimitError says that a run has passed one of its limits.
+// LimitError reports that a run has exceeded one of its limits.
 type LimitError struct {
-	What string // the limit, in words
+	Limit string // in words, with its value
 }
 
 // Error names the limit.
-func (e *LimitError) Error() string { return "the run has passed its limit: " + e.What }
+func (e *LimitError) Error() string { return "the run has exceeded its limit: " + e.Limit }
 
-// Budget bounds what a run may take of the machine: processes, and the memory of them all. It knows each process of
-// the run, so that none is left behind.
+// Budget limits the processes of a run and the memory of them all. It keeps track of each process, so that none outlives
+// the run.
 type Budget struct {
-	mu        sync.Mutex
-	processes int
-	most      int
-	memory    int64 // bytes
-	started   map[*Process]bool
+	mu           sync.Mutex // guards all below
+	processes    int
+	maxProcesses int
+	maxMemory    int64 // in bytes
+	started      map[*Process]bool
 }
 
-// NewBudget returns the budget of one run: MostProcesses, and half of the machine's memory.
+// NewBudget returns the budget of one run: MaxProcesses, and half of the machine's memory.
 func NewBudget() *Budget {
-	return &Budget{most: MostProcesses, memory: machineMemory() / memoryPart, started: map[*Process]bool{}}
+	return &Budget{maxProcesses: MaxProcesses, maxMemory: machineMemory() / memoryDivisor, started: map[*Process]bool{}}
 }
 
-// LowerMemory lowers the limit of memory to so many bytes. It can't be raised.
+// LowerMemory lowers the memory limit to the given number of bytes. A higher one has no effect.
 func (b *Budget) LowerMemory(bytes int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.memory = min(b.memory, bytes)
+	b.maxMemory = min(b.maxMemory, bytes)
 }
 
-// StartProcess takes the place of one process, and fails where the run has as many as it may.
-func (b *Budget) StartProcess(context.Context) error {
+// AcquireProcess reserves one process of the budget. Its error is a *LimitError if none is left.
+func (b *Budget) AcquireProcess(context.Context) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.processes == b.most {
-		return &LimitError{fmt.Sprintf("%d processes at once", b.most)}
+	if b.processes == b.maxProcesses {
+		return &LimitError{fmt.Sprintf("%d processes at once", b.maxProcesses)}
 	}
 	b.processes++
 	return nil
 }
 
-// EndProcess gives the place back.
-func (b *Budget) EndProcess() {
+// ReleaseProcess returns one process to the budget.
+func (b *Budget) ReleaseProcess() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.processes--
 }
 
-// Processes tells how many processes the run has now.
+// Processes returns the number of processes that the run has now.
 func (b *Budget) Processes() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -92,7 +92,7 @@
 	return list
 }
 
-// StopAll ends every process of the run that is still there, and returns once they are gone.
+// StopAll stops every process of the run, and returns once they have ended.
 func (b *Budget) StopAll() {
 	var stops sync.WaitGroup
 	for _, p := range b.running() {
@@ -101,7 +101,7 @@
 	stops.Wait()
 }
 
-// Memory adds up the resident memory of the tool and of the run's processes, in bytes.
+// Memory returns the resident memory of the tool and of the run's processes together, in bytes.
 func (b *Budget) Memory() (int64, error) {
 	own, err := residentMemory(selfPID)
 	if err != nil {
@@ -110,7 +110,7 @@
 	total := own
 	for _, p := range b.running() {
 		resident, err := residentMemory(p.PID())
-		if gone(err) { // between the look at the list and this one
+		if isGone(err) { // since the list was made
 			continue
 		}
 		if err != nil {
@@ -121,9 +121,9 @@
 	return total, nil
 }
 
-// WatchMemory looks at the memory of the run until the context ends, or returns an error once it is over the limit.
+// WatchMemory checks the memory of the run until the context ends. Its error is a *LimitError once it is over the limit.
 func (b *Budget) WatchMemory(ctx context.Context) error {
-	tick := time.NewTicker(memoryLookEvery)
+	tick := time.NewTicker(memoryCheckInterval)
 	defer tick.Stop()
 	for {
 		if err := b.checkMemory(); err != nil {
@@ -140,13 +140,13 @@
 func (b *Budget) checkMemory() error {
 	total, err := b.Memory()
 	if err != nil {
-		return fmt.Errorf("look at the memory of the run: %w", err)
+		return fmt.Errorf("memory of the run: %w", err)
 	}
 	b.mu.Lock()
-	most := b.memory
+	limit := b.maxMemory
 	b.mu.Unlock()
-	if total > most {
-		return &LimitError{fmt.Sprintf("%d MiB of memory (it has %d MiB)", most>>20, total>>20)}
+	if total > limit {
+		return &LimitError{fmt.Sprintf("%d MiB of memory (it has %d MiB)", limit>>20, total>>20)}
 	}
 	return nil
 }
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -10,7 +10,7 @@
 	Slope, Intercept float64
 }
 
-// Fit gives the line through points with the least squares of the distances in y. It takes two different x at least.
+// Fit returns the least-squares line through points. It needs at least two different x.
 func Fit(x, y []float64) (Line, error) {
 	if len(x) != len(y) {
 		return Line{}, fmt.Errorf("fit: %d x and %d y", len(x), len(y))
@@ -36,7 +36,7 @@
 	return sum / float64(len(list))
 }
 
-// Median gives the middle of a list, or the mean of the two in the middle; 0 of an empty one.
+// Median returns the median of a list; 0 for an empty one.
 func Median(list []float64) float64 {
 	if len(list) == 0 {
 		return 0
--- a/internal/scale/latency/chain.go
+++ b/internal/scale/latency/chain.go
@@ -80,7 +80,7 @@
 		return err
 	}
 	settings := scale.DefaultSettings(scale.Pushed)
-	settings.Stage = tier
+	settings.Tier = tier
 	proxy, err := scale.StartProxy(ctx, b.env, scale.ProxyConfig{Name: name, Discovery: discovery,
 		Seed: b.env.Seed + uint64(tier), Settings: settings, Cores: b.cores})
 	if err != nil {
--- a/internal/scale/latency/figures.go
+++ b/internal/scale/latency/figures.go
@@ -27,7 +27,7 @@
 // figuresOf gives the figures of one stage.
 func figuresOf(s stage, m *measurement) []scale.Figure {
 	direct, through := m.direct.calls, m.through.calls
-	figures := s.times("time of a call, direct", scale.StandIn, direct, 0)
+	figures := s.times("time of a call, direct", scale.Emulator, direct, 0)
 	figures = append(figures, s.times("time of a call, through", scale.RealProxy, through, 0)...)
 	figures = append(figures, s.added(direct, through)...)
 	typical := s.times("added to the median", scale.RealProxy, through, direct.ValueAtPercentile(50))
@@ -37,10 +37,10 @@
 		scale.Figure{Case: s.name(), Quantity: "processor time of all proxies", Unit: "cores", Value: m.busy,
 			Source: scale.RealProxy},
 		scale.Figure{Case: s.name(), Quantity: "calls not served, direct", Unit: "calls",
-			Value: float64(m.direct.notServed), Source: scale.StandIn},
+			Value: float64(m.direct.notServed), Source: scale.Emulator},
 		scale.Figure{Case: s.name(), Quantity: "calls not served, through", Unit: "calls",
 			Value: float64(m.through.notServed), Source: scale.RealProxy},
-		scale.Figure{Case: s.name(), Quantity: "lateness of the load generator, p99", Unit: "ms", Source: scale.StandIn,
+		scale.Figure{Case: s.name(), Quantity: "lateness of the load generator, p99", Unit: "ms", Source: scale.Emulator,
 			Value: inMs(m.through.lateness.ValueAtPercentile(99)), Samples: int(m.through.lateness.TotalCount())},
 	)
 }
--- a/internal/scale/latency/latency.go
+++ b/internal/scale/latency/latency.go
@@ -66,7 +66,7 @@
 		p = smallPlan()
 	}
 	defer debug.SetGCPercent(debug.SetGCPercent(collectPercent))
-	return scale.Apart(env.Cores, func(cores []int) (scale.Result, error) { return measureOn(ctx, env, p, cores) })
+	return scale.WithSeparateCores(env.Cores, func(cores []int) (scale.Result, error) { return measureOn(ctx, env, p, cores) })
 }
 
 // measureOn measures with the proxies on the given cores.
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -14,33 +14,33 @@
 	"time"
 )
 
-// stopPatience is how long a process has after SIGTERM before it is killed.
-const stopPatience = 3 * time.Second
+// stopTimeout is the time between SIGTERM and SIGKILL.
+const stopTimeout = 3 * time.Second
 
-const keptLog = 8 << 10 // of the end of a process's output, for errors
+const logTailBytes = 8 << 10 // of the end of a process's output, for errors
 
-// ErrEnded says that a process has ended.
-var ErrEnded = errors.New("the process has ended")
+// ErrProcessEnded reports that a process has ended.
+var ErrProcessEnded = errors.New("the process has ended")
 
 // Program is a program to start.
 type Program struct {
 	Path  string
 	Args  []string
 	Env   []string  // "NAME=value", in addition to the tool's own
-	Dir   string    // its working folder; empty: the tool's
-	Cores []int     // on which it may run; empty: those of the tool
-	Log   io.Writer // takes its output; may be nil
+	Dir   string    // working directory; empty: the tool's
+	Cores []int     // that it may use; empty: those of the tool
+	Log   io.Writer // receives its output; may be nil
 }
 
-// Process is a process that the run has started. It is killed when the tool dies, however that happens, and it ends at
-// the latest when the context of its start does.
+// Process is a process that the run has started. It is killed when the tool dies for whatever reason, and stopped when the
+// context of its start ends.
 type Process struct {
 	budget  *Budget
 	command *exec.Cmd
 	started time.Time
 	tail    *tail
-	ended   chan struct{} // closed once it has ended and its place is given back
-	err     error         // of its end; set before ended is closed
+	ended   chan struct{} // closed once it has ended and is returned to the budget
+	err     error         // of its exit; set before ended is closed
 }
 
 // StartProgram starts a program as a process of the run.
@@ -48,7 +48,7 @@
 	if err := ctx.Err(); err != nil {
 		return nil, context.Cause(ctx)
 	}
-	if err := env.Budget.StartProcess(ctx); err != nil {
+	if err := env.Budget.AcquireProcess(ctx); err != nil {
 		return nil, err
 	}
 	p := &Process{budget: env.Budget, tail: &tail{next: program.Log}, ended: make(chan struct{})}
@@ -56,12 +56,12 @@
 	p.command.Dir = program.Dir
 	p.command.Env = append(os.Environ(), program.Env...)
 	p.command.Stdout, p.command.Stderr = p.tail, p.tail
-	p.command.WaitDelay = time.Second // for output that a child of its own still holds open
-	// A group of its own: what a terminal sends on Ctrl-C goes to the tool, which ends its processes in order.
+	p.command.WaitDelay = time.Second // for output that its own children hold open
+	// A process group of its own, so that Ctrl-C on a terminal goes to the tool alone, which stops its processes in order.
 	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	p.started = time.Now()
 	if err := start(p.command, program.Cores); err != nil {
-		env.Budget.EndProcess()
+		env.Budget.ReleaseProcess()
 		return nil, fmt.Errorf("start %s: %w", program.Path, err)
 	}
 	env.Budget.add(p)
@@ -76,21 +76,21 @@
 	return p, nil
 }
 
-// reap waits for the end of the process.
+// reap waits until the process has ended.
 func (p *Process) reap() {
 	p.err = p.command.Wait()
 	p.budget.remove(p)
-	p.budget.EndProcess()
+	p.budget.ReleaseProcess()
 	close(p.ended)
 }
 
-// PID is its process id.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Ended is closed once the process has ended.
+// Ended returns a channel that is closed once the process has ended.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// Err tells how the process ended, with the end of its output; nil if it exited with 0. Call it after Ended.
+// Err returns how the process ended, with the last line of its output; nil if it exited with 0. To be called after Ended.
 func (p *Process) Err() error {
 	if p.err == nil {
 		return nil
@@ -98,51 +98,51 @@
 	return fmt.Errorf("%s: %w: %s", p.command.Path, p.err, p.tail.lastLine())
 }
 
-// Signal sends a signal, or returns ErrEnded.
+// Signal sends a signal. Its error is ErrProcessEnded if the process has ended.
 func (p *Process) Signal(signal syscall.Signal) error {
 	err := p.command.Process.Signal(signal)
 	if errors.Is(err, os.ErrProcessDone) {
-		return ErrEnded
+		return ErrProcessEnded
 	}
 	return err
 }
 
-// Stop ends the process with SIGTERM, and with SIGKILL if it takes longer than 3 s. It returns once it is gone.
+// Stop ends the process with SIGTERM, and after 3 s with SIGKILL. It returns once the process has ended.
 func (p *Process) Stop() {
-	_ = p.Signal(syscall.SIGTERM) // ErrEnded is as good
+	_ = p.Signal(syscall.SIGTERM) // it may have ended already
 	select {
 	case <-p.ended:
-	case <-time.After(stopPatience):
+	case <-time.After(stopTimeout):
 		p.Kill()
 	}
 }
 
-// Kill ends the process with SIGKILL and returns once it is gone.
+// Kill ends the process with SIGKILL. It returns once the process has ended.
 func (p *Process) Kill() {
 	_ = p.Signal(syscall.SIGKILL)
 	<-p.ended
 }
 
-// Usage tells what the process has used, or returns ErrEnded.
+// Usage returns the resource usage of the process. Its error is ErrProcessEnded if the process has ended.
 func (p *Process) Usage() (Usage, error) {
 	usage, err := processUsage(p.PID())
 	select {
-	case <-p.ended: // the id may be another process's by now
-		return Usage{}, ErrEnded
+	case <-p.ended: // the ID may belong to another process by now
+		return Usage{}, ErrProcessEnded
 	default:
 	}
-	if gone(err) {
-		return Usage{}, ErrEnded
+	if isGone(err) {
+		return Usage{}, ErrProcessEnded
 	}
 	return usage, err
 }
 
-// starts takes the starts of processes to the one thread that makes them all.
-var starts = sync.OnceValue(func() chan func() {
+// startJobs returns the jobs of the one thread that starts all processes.
+var startJobs = sync.OnceValue(func() chan func() {
 	jobs := make(chan func())
 	go func() {
-		// The kernel sends the signal of a parent's death when the thread that started the child ends, so this one
-		// never does. It also lends its set of cores to each child.
+		// The kernel sends Pdeathsig when the thread that started the child ends, so this one never does. A child inherits
+		// the cores of this thread.
 		runtime.LockOSThread()
 		for job := range jobs {
 			job()
@@ -153,12 +153,12 @@
 
 func start(command *exec.Cmd, cores []int) error {
 	result := make(chan error)
-	starts() <- func() { result <- startOn(command, cores) }
+	startJobs() <- func() { result <- startOn(command, cores) }
 	return <-result
 }
 
-// startOn starts a command on these cores, or on those of the tool if there are none. Only the thread of starts calls
-// it.
+// startOn starts a command on the given cores, or on those of the tool if there are none. It is called on the thread of
+// startJobs alone.
 func startOn(command *exec.Cmd, cores []int) error {
 	if len(cores) == 0 {
 		return command.Start()
@@ -177,23 +177,23 @@
 	return errors.Join(command.Start(), setThreadMask(0, own))
 }
 
-// tail passes output on and keeps the end of it.
+// tail is a writer that keeps the end of the output and forwards all of it.
 type tail struct {
-	mu   sync.Mutex
-	next io.Writer
-	kept []byte
+	mu     sync.Mutex // guards buffer
+	next   io.Writer
+	buffer []byte
 }
 
-// Write never fails: a log that can't be written is no reason to break the process that writes it.
+// Write never fails, as an error would break the output of the process.
 func (t *tail) Write(data []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.next != nil {
 		_, _ = t.next.Write(data)
 	}
-	t.kept = append(t.kept, data...)
-	if surplus := len(t.kept) - keptLog; surplus > 0 {
-		t.kept = append(t.kept[:0], t.kept[surplus:]...)
+	t.buffer = append(t.buffer, data...)
+	if surplus := len(t.buffer) - logTailBytes; surplus > 0 {
+		t.buffer = append(t.buffer[:0], t.buffer[surplus:]...)
 	}
 	return len(data), nil
 }
@@ -201,6 +201,6 @@
 func (t *tail) lastLine() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	lines := bytes.Split(bytes.TrimSpace(t.kept), []byte("\n"))
+	lines := bytes.Split(bytes.TrimSpace(t.buffer), []byte("\n"))
 	return string(lines[len(lines)-1])
 }
--- a/internal/scale/propagation/real.go
+++ b/internal/scale/propagation/real.go
@@ -59,10 +59,10 @@
 func (f *fleet) realConfig(name, address string, number int) scale.ProxyConfig {
 	membership := scale.Pushed
 	if f.ask {
-		membership = scale.Asked
+		membership = scale.Polled
 	}
 	settings := scale.DefaultSettings(membership)
-	settings.Siblings, settings.Ordinal = f.size.realProxies, number
+	settings.Replicas, settings.ReplicaIndex = f.size.realProxies, number
 	settings.Zones, settings.Zone = zoneNames(), number%len(zones())
 	// Several jobs run at once in one folder.
 	return scale.ProxyConfig{Name: fmt.Sprintf("%s-%x", name, f.seed), Discovery: address, Seed: f.seed + uint64(number),
--- a/internal/scale/proxy.go
+++ b/internal/scale/proxy.go
@@ -16,10 +16,10 @@
 	"baylock/internal/discovery"
 )
 
-// BuildCommand builds the program of the real proxy where the command looks for it.
+// BuildCommand builds the program of the real proxy at its default path.
 const BuildCommand = "mkdir -p bin && go build -o bin/ ./cmd/baylock"
 
-// The limits of a proxy if ProxyConfig names none: those of the platform.
+// The limits of a proxy for which ProxyConfig states none: those of the platform.
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
@@ -27,62 +27,62 @@
 )
 
 const (
-	readyPatience = 30 * time.Second
-	healthEvery   = 2 * time.Millisecond
-	healthTimeout = time.Second
+	readyTimeout   = 30 * time.Second
+	healthInterval = 2 * time.Millisecond
+	healthTimeout  = time.Second
 )
 
-const soReusePort = 0xf // SO_REUSEPORT
+const soReusePort = 0xf // SO_REUSEPORT, which package syscall lacks
 
-// ProxyConfig says how to start a real proxy.
+// ProxyConfig configures a real proxy.
 type ProxyConfig struct {
-	Name      string // must be distinct among the proxies of a run that live at the same time
+	Name      string // distinct among the proxies that run at the same time
 	Listen    string // host:port for clients; empty: a free port of 127.0.0.1
 	Console   string // host:port for operators; empty: none
 	Discovery string // host:port
 	Seed      uint64
-	Known     *discovery.List // the list as it last had it; may be nil
+	Known     *discovery.List // the list as last known; may be nil
 	Settings  Settings
 
-	MemoryMB float64   // the limit that it is told; 0: 192
-	Sockets  int       // the same of its descriptors; 0: 1,024
-	MaxCores float64   // the same of its processor time, in cores; 0: 1
-	Cores    []int     // the cores on which it may run; empty: those of the tool
-	Log      io.Writer // takes what it writes; nil: only the end of it is kept, for errors
+	MemoryLimitMB float64   // memory limit in its configuration; 0: 192
+	SocketLimit   int       // limit of file descriptors; 0: 1,024
+	CoreLimit     float64   // limit of CPU time, in cores; 0: 1
+	Cores         []int     // cores that it may use; empty: those of the tool
+	Log           io.Writer // receives its output; may be nil
 }
 
-// Proxy is a real proxy that serves.
+// Proxy is a real proxy that runs.
 type Proxy struct {
 	*Process
 	Address    string        // host:port for clients
 	ConfigPath string        // of its configuration file
-	ReadyAfter time.Duration // from its start until it first said that it is healthy
+	ReadyAfter time.Duration // from its start until it was healthy
 	config     ProxyConfig
-	place      *reservation // of its address; nil if the caller chose it
+	port       *portReservation // of Address; nil if the caller chose that
 }
 
-// StartProxy starts the real proxy's program and returns once its GET /_health answers 200, which takes a list of
-// backends from discovery or ProxyConfig.Known. It fails if that takes longer than 30 s, if the program ends or if the
-// context does; nothing is left then. The proxy ends with Stop or Kill, and at the latest with the context.
+// StartProxy starts the real proxy's program and returns once GET /_health responds 200, for which it needs an endpoint
+// list from discovery or ProxyConfig.Known. It fails, and leaves no process, if that takes longer than 30 s or if the
+// program or the context ends. The proxy runs until Stop, Kill or the end of the context.
 func StartProxy(ctx context.Context, env Env, config ProxyConfig) (*Proxy, error) {
 	if env.ProxyProgram == "" {
-		return nil, ErrNoProxy
+		return nil, ErrProxyMissing
 	}
 	proxy := &Proxy{config: config, Address: config.Listen}
 	if config.Listen == "" {
-		place, err := reserve()
+		port, err := reservePort()
 		if err != nil {
-			return nil, fmt.Errorf("find an address for proxy %s: %w", config.Name, err)
+			return nil, fmt.Errorf("address for proxy %s: %w", config.Name, err)
 		}
-		proxy.place, proxy.Address = place, place.address
+		proxy.port, proxy.Address = port, port.address
 	}
 	if err := proxy.start(ctx, env); err != nil {
-		proxy.place.close()
+		proxy.port.close()
 		return nil, fmt.Errorf("proxy %s: %w", config.Name, err)
 	}
 	go func() {
 		<-proxy.Ended()
-		proxy.place.close()
+		proxy.port.close()
 	}()
 	return proxy, nil
 }
@@ -103,7 +103,7 @@
 		return err
 	}
 	p.Process = process
-	if err := p.awaitReady(ctx); err != nil {
+	if err := p.waitUntilReady(ctx); err != nil {
 		p.Kill()
 		return err
 	}
@@ -111,21 +111,20 @@
 	return nil
 }
 
-// WriteConfig writes the proxy's configuration file anew. The running proxy keeps what it has until Reload, or until a
-// new process of it starts; its address stays as it is.
+// WriteConfig replaces the proxy's configuration file, with the same address. A running proxy reads it at Reload.
 func (p *Proxy) WriteConfig(config ProxyConfig) error {
 	data, err := json.MarshalIndent(config.file(p.Address), "", " ")
 	if err != nil {
-		return fmt.Errorf("write the configuration: %w", err)
+		return fmt.Errorf("write configuration: %w", err)
 	}
-	next := p.ConfigPath + ".new" // the proxy never sees half a file
+	next := p.ConfigPath + ".new" // renamed, so that the proxy never reads a partial file
 	if err := os.WriteFile(next, data, 0o600); err != nil {
-		return fmt.Errorf("write the configuration: %w", err)
+		return fmt.Errorf("write configuration: %w", err)
 	}
 	return os.Rename(next, p.ConfigPath)
 }
 
-// Reload tells the proxy to read its configuration file again.
+// Reload makes the proxy read its configuration file again.
 func (p *Proxy) Reload() error { return p.Signal(syscall.SIGHUP) }
 
 // configFile is the form of the configuration file.
@@ -147,7 +146,7 @@
 }
 
 func (c ProxyConfig) file(listen string) configFile {
-	limits := configLimits{Cores: c.MaxCores, MemoryMB: c.MemoryMB, Sockets: c.Sockets}
+	limits := configLimits{Cores: c.CoreLimit, MemoryMB: c.MemoryLimitMB, Sockets: c.SocketLimit}
 	if limits.Cores == 0 {
 		limits.Cores = defaultCores
 	}
@@ -161,11 +160,11 @@
 		Seed: strconv.FormatUint(c.Seed, 16), Limits: limits, Known: c.Known, Settings: c.Settings}
 }
 
-// awaitReady returns once the proxy is healthy.
-func (p *Proxy) awaitReady(ctx context.Context) error {
-	late := time.NewTimer(readyPatience)
+// waitUntilReady returns once the proxy is healthy.
+func (p *Proxy) waitUntilReady(ctx context.Context) error {
+	late := time.NewTimer(readyTimeout)
 	defer late.Stop()
-	next := time.NewTicker(healthEvery)
+	next := time.NewTicker(healthInterval)
 	defer next.Stop()
 	client := &http.Client{Timeout: healthTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for !healthy(ctx, client, p.Address) {
@@ -175,9 +174,9 @@
 			if err := p.Err(); err != nil {
 				return err
 			}
-			return ErrEnded
+			return ErrProcessEnded
 		case <-late.C:
-			return fmt.Errorf("not healthy after %v", readyPatience)
+			return fmt.Errorf("not healthy after %v", readyTimeout)
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		}
@@ -198,14 +197,14 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// reservation holds a port of 127.0.0.1 for a proxy, which listens there with SO_REUSEPORT: no other program of the
-// machine gets it between the choice and the proxy's start, nor between one start and the next.
-type reservation struct {
+// portReservation holds a port of 127.0.0.1 for a proxy, which listens there with SO_REUSEPORT, so that no other program
+// gets it before the proxy starts or between two starts.
+type portReservation struct {
 	address string
 	socket  int
 }
 
-func reserve() (*reservation, error) {
+func reservePort() (*portReservation, error) {
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, err
@@ -215,7 +214,7 @@
 		syscall.Close(socket)
 		return nil, err
 	}
-	return &reservation{address: address, socket: socket}, nil
+	return &portReservation{address: address, socket: socket}, nil
 }
 
 // bindLoopback binds a socket to a free port of 127.0.0.1 and returns the address.
@@ -232,14 +231,14 @@
 	}
 	name, ok := bound.(*syscall.SockaddrInet4)
 	if !ok {
-		return "", fmt.Errorf("bound to an address of an unknown kind: %v", bound)
+		return "", fmt.Errorf("bound to %v, want an IPv4 address", bound)
 	}
 	return net.JoinHostPort("127.0.0.1", strconv.Itoa(name.Port)), nil
 }
 
-// close gives the port free; a nil reservation has none.
-func (r *reservation) close() {
+// close releases the port. A nil reservation has none.
+func (r *portReservation) close() {
 	if r != nil {
-		_ = syscall.Close(r.socket) // of a socket that holds no data: nothing can be lost
+		_ = syscall.Close(r.socket) // the socket carries no data
 	}
 }
--- a/internal/scale/proxy_test.go
+++ b/internal/scale/proxy_test.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"errors"
 	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
@@ -28,14 +27,14 @@
 	return backend
 }
 
-// proxyConfig names no discovery that works, but a list with one backend.
+// proxyConfig has no discovery service, but a known list with one backend.
 func proxyConfig(backend *traffic.Backend) scale.ProxyConfig {
 	return scale.ProxyConfig{Name: "proxy-1", Discovery: "127.0.0.1:1", Seed: 7,
 		Known:    &discovery.List{Index: 3, Snapshot: true, Endpoints: backend.Endpoints(1, scale.DefaultZones())},
 		Settings: scale.DefaultSettings(scale.Pushed)}
 }
 
-func TestARealProxyServes(t *testing.T) {
+func TestStartProxyServesAndReloads(t *testing.T) {
 	env, backend := scaletest.Env(t), startBackend(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -48,13 +47,13 @@
 	defer client.Close()
 	call := traffic.Call{ID: "1", Class: scale.ReadClass, Tenant: scale.TenantA, TimeoutMs: 60_000}
 	if err := client.Call(call); err != nil || backend.Calls() != 1 {
-		t.Errorf("%d calls arrived, %v", backend.Calls(), err)
+		t.Errorf("%d calls arrived, error %v", backend.Calls(), err)
 	}
 	usage, err := proxy.Usage()
 	if err != nil || usage.CPU <= 0 || usage.ReadBytes == 0 || proxy.ReadyAfter <= 0 {
 		t.Errorf("usage %+v, %v, ready after %v", usage, err, proxy.ReadyAfter)
 	}
-	config.Settings.Tenants[0].Quota++
+	config.Settings.Tenants[0].RateQuota++
 	if err := errors.Join(proxy.WriteConfig(config), proxy.Reload()); err != nil {
 		t.Error(err)
 	}
@@ -65,11 +64,11 @@
 	cancel()
 	<-proxy.Ended()
 	if env.Budget.Processes() != 0 {
-		t.Errorf("%d processes are left", env.Budget.Processes())
+		t.Errorf("%d processes still run", env.Budget.Processes())
 	}
 }
 
-func TestTheConfigurationIsThatOfAProxy(t *testing.T) {
+func TestProxyConfigFileIsReadable(t *testing.T) {
 	env := scaletest.Env(t)
 	proxy, err := scale.StartProxy(t.Context(), env, proxyConfig(startBackend(t)))
 	if err != nil {
@@ -100,41 +99,52 @@
 	if len(site.Classes) != 2 || len(site.Tenants) != 2 || len(site.Zones) != 5 || site.Balancer.SubscribeRequired {
 		t.Errorf("settings %+v", site)
 	}
-	asked, err := json.Marshal(scale.DefaultSettings(scale.Asked))
+	polled, err := json.Marshal(scale.DefaultSettings(scale.Polled))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if site, err = settings.Decode(asked); err != nil || !site.Balancer.SubscribeRequired || site.Balancer.MaxPollInterval == 0 {
+	if site, err = settings.Decode(polled); err != nil || !site.Balancer.SubscribeRequired || site.Balancer.MaxPollInterval == 0 {
 		t.Errorf("settings %+v, %v", site, err)
 	}
 }
 
-func TestAProxyThatCannotStartLeavesNothing(t *testing.T) {
-	env, backend := scaletest.Env(t), startBackend(t)
-	for name, spoil := range map[string]func(*scale.Env, *scale.ProxyConfig){
-		scale.BuildCommand: func(env *scale.Env, _ *scale.ProxyConfig) { env.ProxyProgram = "" },
-		"no such file":     func(env *scale.Env, _ *scale.ProxyConfig) { env.ProxyProgram += "-absent" },
-		"membership_mode":  func(_ *scale.Env, c *scale.ProxyConfig) { c.Settings.Membership = "never" },
-		"too few":          func(_ *scale.Env, c *scale.ProxyConfig) { c.Sockets = 3 },
+func TestStartProxyFailureLeavesNoProcess(t *testing.T) {
+	backend := startBackend(t)
+	for _, test := range []struct {
+		name   string
+		change func(*scale.Env, *scale.ProxyConfig)
+		want   string // in the error
+	}{
+		{"no program", func(env *scale.Env, _ *scale.ProxyConfig) { env.ProxyProgram = "" }, scale.BuildCommand},
+		{"unknown program", func(env *scale.Env, _ *scale.ProxyConfig) { env.ProxyProgram += "-absent" }, "no such file"},
+		{"invalid settings", func(_ *scale.Env, c *scale.ProxyConfig) { c.Settings.Membership = "never" }, "membership_mode"},
+		{"too few sockets", func(_ *scale.Env, c *scale.ProxyConfig) { c.SocketLimit = 3 }, "too few"},
 	} {
-		bad, config := env, proxyConfig(backend)
-		bad.TempDir = filepath.Join(env.TempDir, name[:3])
-		spoil(&bad, &config)
-		_, err := scale.StartProxy(t.Context(), bad, config)
-		if err == nil || !strings.Contains(err.Error(), name) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: got %v", name, err)
-		}
-		if env.Budget.Processes() != 0 {
-			t.Errorf("%s: %d processes are left", name, env.Budget.Processes())
-		}
+		t.Run(test.name, func(t *testing.T) {
+			env, config := scaletest.Env(t), proxyConfig(backend)
+			test.change(&env, &config)
+			_, err := scale.StartProxy(t.Context(), env, config)
+			if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("got error %v, want one line with %q", err, test.want)
+			}
+			if n := env.Budget.Processes(); n != 0 {
+				t.Errorf("%d processes still run", n)
+			}
+		})
 	}
-	config := proxyConfig(backend)
+}
+
+func TestStartProxyCancelledLeavesNoProcess(t *testing.T) {
+	env, config := scaletest.Env(t), proxyConfig(startBackend(t))
 	config.Known = nil // without a list it never becomes healthy
-	stop := errors.New("the test has seen enough")
+	stop := errors.New("stopped by the test")
 	ctx, cancel := context.WithCancelCause(t.Context())
 	config.Log = writerFunc(func([]byte) { cancel(stop) })
-	if _, err := scale.StartProxy(ctx, env, config); !errors.Is(err, stop) || env.Budget.Processes() != 0 {
-		t.Errorf("got %v; %d processes are left", err, env.Budget.Processes())
+	if _, err := scale.StartProxy(ctx, env, config); !errors.Is(err, stop) {
+		t.Errorf("got error %v, want %v", err, stop)
+	}
+	if n := env.Budget.Processes(); n != 0 {
+		t.Errorf("%d processes still run", n)
 	}
 }
 
--- a/internal/scale/ramp/ramp_test.go
+++ b/internal/scale/ramp/ramp_test.go
@@ -67,7 +67,7 @@
 	}
 	missed := 0
 	for _, f := range figures(smallSize, c, &r) {
-		if !f.Meets() {
+		if !f.MeetsTarget() {
 			missed++
 		}
 	}
@@ -84,7 +84,7 @@
 		}
 		scaletest.CheckFigures(t, result.Figures, scale.HollowProxy)
 		for _, f := range result.Figures {
-			if !f.Meets() {
+			if !f.MeetsTarget() {
 				t.Errorf("figure %+v misses its target", f)
 			}
 		}
--- a/internal/scale/reload/figures.go
+++ b/internal/scale/reload/figures.go
@@ -43,7 +43,7 @@
 		figure("proxies not in force", "proxies", float64(notTaken), scale.Target(0), len(seconds)),
 		figure("calls not served", "calls", float64(m.notServed), scale.Target(0), m.calls),
 		{Case: situation, Quantity: "time to replace all files, worst", Unit: "s", Value: m.writing.Seconds(),
-			Source: scale.StandIn, Samples: len(seconds) / p.proxies},
+			Source: scale.Emulator, Samples: len(seconds) / p.proxies},
 		figure("bytes to each proxy", "B", float64(m.fileBytes), nil, 0),
 		figure("processor time of a reload", "ms", float64(m.reloadCPU)/float64(time.Millisecond), nil, p.reloads),
 	}
--- a/internal/scale/reload/fleet.go
+++ b/internal/scale/reload/fleet.go
@@ -82,7 +82,7 @@
 		return err
 	}
 	settings := scale.DefaultSettings(scale.Pushed)
-	settings.Siblings, settings.Ordinal, settings.Zone = f.plan.proxies, number, number%len(settings.Zones)
+	settings.Replicas, settings.ReplicaIndex, settings.Zone = f.plan.proxies, number, number%len(settings.Zones)
 	config := scale.ProxyConfig{Name: name, Discovery: address, Seed: f.env.Seed + uint64(number),
 		Settings: settings}
 	proxy, err := scale.StartProxy(ctx, f.env, config)
@@ -203,9 +203,9 @@
 	f.classes++
 	name := fmt.Sprintf("added-%d", f.classes)
 	for _, p := range f.proxies {
-		added := p.config.Settings.Profiles[0]
+		added := p.config.Settings.Classes[0]
 		added.Name = name
-		p.config.Settings.Profiles = append(slices.Clone(p.config.Settings.Profiles), added)
+		p.config.Settings.Classes = append(slices.Clone(p.config.Settings.Classes), added)
 	}
 	return name
 }
@@ -237,7 +237,7 @@
 		select {
 		case <-next.C:
 		case <-p.Ended():
-			return 0, errors.Join(scale.ErrEnded, p.Err())
+			return 0, errors.Join(scale.ErrProcessEnded, p.Err())
 		case <-ctx.Done():
 			return 0, context.Cause(ctx)
 		}
--- a/internal/scale/reload/reload_test.go
+++ b/internal/scale/reload/reload_test.go
@@ -63,7 +63,7 @@
 	}
 	m := measurement{times: []time.Duration{time.Second, took, time.Millisecond}}
 	figures := m.figures(p)
-	if f := figure(t, figures, "proxies not in force"); f.Value != 2 || f.Meets() {
+	if f := figure(t, figures, "proxies not in force"); f.Value != 2 || f.MeetsTarget() {
 		t.Errorf("got %+v", f)
 	}
 }
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -9,12 +9,11 @@
 	"path/filepath"
 	"slices"
 	"strings"
-	"time"
 )
 
 const resultSuffix = ".json"
 
-// Check tells what makes a result unfit to be kept.
+// Check checks that a result is complete and its values are finite.
 func (r Result) Check() error {
 	if r.Experiment == "" {
 		return errors.New("result: experiment is missing")
@@ -24,13 +23,13 @@
 			return fmt.Errorf("result: figures[%d]: quantity, unit or source is missing", i)
 		}
 		if math.IsNaN(f.Value) || math.IsInf(f.Value, 0) {
-			return fmt.Errorf("result: figures[%d] (%s, %s): %v is no figure", i, f.Case, f.Quantity, f.Value)
+			return fmt.Errorf("result: figures[%d] (%s, %s): %v is not finite", i, f.Case, f.Quantity, f.Value)
 		}
 	}
 	return nil
 }
 
-// FileName is under what a result is kept: the experiment, the instant of its start in UTC and the seed.
+// FileName returns the name of a result's file: experiment, start in UTC and seed.
 func (r Result) FileName() string {
 	small := ""
 	if r.Small {
@@ -40,7 +39,7 @@
 		resultSuffix)
 }
 
-// Write keeps the result in a folder, which is made if need be, and returns the file's path.
+// Write stores the result in a folder, which it creates if needed, and returns the file's path.
 func (r Result) Write(folder string) (string, error) {
 	if err := r.Check(); err != nil {
 		return "", err
@@ -53,14 +52,14 @@
 		return "", err
 	}
 	path := filepath.Join(folder, r.FileName())
-	part := path + ".part"
-	if err := os.WriteFile(part, append(data, '\n'), 0o644); err != nil {
+	temporary := path + ".part"
+	if err := os.WriteFile(temporary, append(data, '\n'), 0o644); err != nil {
 		return "", err
 	}
-	return path, os.Rename(part, path)
+	return path, os.Rename(temporary, path)
 }
 
-// ReadResult reads a result that was kept.
+// ReadResult reads a stored result.
 func ReadResult(path string) (Result, error) {
 	var r Result
 	data, err := os.ReadFile(path)
@@ -76,8 +75,8 @@
 	return r, nil
 }
 
-// KeptResults lists the files of a folder's results by name, so that those of one experiment stand in order of time.
-func KeptResults(folder string) ([]string, error) {
+// StoredResults returns the files of a folder's results by name, so that those of one experiment are in order of time.
+func StoredResults(folder string) ([]string, error) {
 	entries, err := os.ReadDir(folder)
 	if err != nil {
 		return nil, err
@@ -92,16 +91,13 @@
 	return paths, nil
 }
 
-// Missed counts the figures that are over their targets.
+// Missed returns the number of figures that are over their targets.
 func (r Result) Missed() int {
 	missed := 0
 	for _, f := range r.Figures {
-		if !f.Meets() {
+		if !f.MeetsTarget() {
 			missed++
 		}
 	}
 	return missed
 }
-
-// took rounds a duration for reading.
-func took(d time.Duration) time.Duration { return d.Round(100 * time.Millisecond) }
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-func sample() Result {
-	return Result{Experiment: "sample", Started: time.Date(2026, 12, 2, 5, 6, 7, 0, time.UTC), Took: 90 * time.Second,
+func testResult() Result {
+	return Result{Experiment: "sample", Started: time.Date(2026, 12, 2, 5, 6, 7, 0, time.UTC), Duration: 90 * time.Second,
 		Seed: 3, Commit: "abc+changes", Machine: Machine{"linux/amd64", "go1", 8, []int{0, 1}},
 		Figures: []Figure{
 			{Case: "idle", Quantity: "memory", Unit: "MiB", Value: 12.3456, Target: Target(32), Source: RealProxy},
@@ -23,50 +23,59 @@
 		}, Notes: []string{"one note"}}
 }
 
-func TestAResultComesBackAsItWasKept(t *testing.T) {
+func TestResultWriteAndReadGiveSameResult(t *testing.T) {
 	folder := t.TempDir()
-	kept := sample()
-	path, err := kept.Write(folder)
+	written := testResult()
+	path, err := written.Write(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !strings.HasSuffix(path, "sample-20261202T050607Z-seed3.json") {
-		t.Errorf("kept in %s", path)
+		t.Errorf("written to %s", path)
 	}
-	back, err := ReadResult(path)
-	if err != nil || !reflect.DeepEqual(back, kept) {
-		t.Errorf("kept %+v, came back %+v, %v", kept, back, err)
+	read, err := ReadResult(path)
+	if err != nil || !reflect.DeepEqual(read, written) {
+		t.Errorf("wrote %+v, read %+v, %v", written, read, err)
 	}
-	if paths, err := KeptResults(folder); err != nil || !slices.Equal(paths, []string{path}) {
+	if paths, err := StoredResults(folder); err != nil || !slices.Equal(paths, []string{path}) {
 		t.Errorf("listed %v, %v", paths, err)
 	}
 }
 
-func TestWhatIsNoResultIsAnError(t *testing.T) {
-	for name, spoil := range map[string]func(*Result){
-		"experiment is missing": func(r *Result) { r.Experiment = "" },
-		"unit or source":        func(r *Result) { r.Figures[1].Unit = "" },
-		"NaN is no figure":      func(r *Result) { r.Figures[0].Value = math.NaN() },
-		"+Inf is no figure":     func(r *Result) { r.Figures[0].Value = math.Inf(1) },
+func TestResultWriteInvalidResultGivesError(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		change func(*Result)
+		want   string // in the error
+	}{
+		{"no experiment", func(r *Result) { r.Experiment = "" }, "experiment is missing"},
+		{"no unit", func(r *Result) { r.Figures[1].Unit = "" }, "figures[1]: quantity, unit or source is missing"},
+		{"not a number", func(r *Result) { r.Figures[0].Value = math.NaN() }, "NaN is not finite"},
+		{"infinite", func(r *Result) { r.Figures[0].Value = math.Inf(1) }, "+Inf is not finite"},
 	} {
-		result := sample()
-		spoil(&result)
-		if _, err := result.Write(t.TempDir()); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: got %v", name, err)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			result := testResult()
+			test.change(&result)
+			if _, err := result.Write(t.TempDir()); err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("got error %v, want %q in it", err, test.want)
+			}
+		})
 	}
+}
+
+func TestReadResultIncompleteFileGivesError(t *testing.T) {
 	path := t.TempDir() + "/half.json"
 	if err := os.WriteFile(path, []byte(`{"experiment":`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := ReadResult(path); err == nil || !strings.Contains(err.Error(), "half.json") {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want the file's name in it", err)
 	}
 }
 
-func TestATargetStandsBesideItsFigure(t *testing.T) {
+func TestTablesShowFiguresWithTargets(t *testing.T) {
 	var table, markdown bytes.Buffer
-	if err := errors.Join(WriteTable(&table, sample()), WriteMarkdown(&markdown, sample())); err != nil {
+	if err := errors.Join(WriteTable(&table, testResult()), WriteMarkdown(&markdown, testResult())); err != nil {
 		t.Fatal(err)
 	}
 	lines := strings.Split(table.String(), "\n")
@@ -88,33 +97,33 @@
 			t.Errorf("%q is not in %q", row, markdown.String())
 		}
 	}
-	if missed := sample().Missed(); missed != 1 {
+	if missed := testResult().Missed(); missed != 1 {
 		t.Errorf("missed %d", missed)
 	}
 }
 
-func TestARunHasItsLimits(t *testing.T) {
+func TestBudgetOverLimitGivesLimitError(t *testing.T) {
 	budget := NewBudget()
-	for range MostProcesses {
-		if err := budget.StartProcess(t.Context()); err != nil {
+	for range MaxProcesses {
+		if err := budget.AcquireProcess(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 	}
 	var limit *LimitError
-	if err := budget.StartProcess(t.Context()); !errors.As(err, &limit) {
-		t.Errorf("process %d: %v", MostProcesses+1, err)
+	if err := budget.AcquireProcess(t.Context()); !errors.As(err, &limit) {
+		t.Errorf("process %d: %v", MaxProcesses+1, err)
 	}
 	if _, err := StartProgram(t.Context(), Env{Budget: budget}, Program{Path: os.Args[0]}); !errors.As(err, &limit) {
-		t.Errorf("a program more: %v", err)
+		t.Errorf("one program more: %v", err)
 	}
-	budget.EndProcess()
-	if err := budget.StartProcess(t.Context()); err != nil {
-		t.Errorf("a place was given back: %v", err)
+	budget.ReleaseProcess()
+	if err := budget.AcquireProcess(t.Context()); err != nil {
+		t.Errorf("after the release of a process: %v", err)
 	}
 	half := machineMemory() / 2
 	budget.LowerMemory(1 << 62)
-	if half == 0 || budget.memory != half {
-		t.Errorf("limit %d, half of the machine's memory is %d", budget.memory, half)
+	if half == 0 || budget.maxMemory != half {
+		t.Errorf("limit %d, half of the machine's memory is %d", budget.maxMemory, half)
 	}
 	budget.LowerMemory(1)
 	if err := budget.WatchMemory(t.Context()); !errors.As(err, &limit) {
@@ -124,7 +133,7 @@
 
 const readyWord = "ready"
 
-// startCat starts a program that has used some processor time and then lives until it is ended.
+// startCat starts a program that uses some CPU time and then runs until it is stopped.
 func startCat(t *testing.T, ctx context.Context, budget *Budget, cores []int) *Process {
 	t.Helper()
 	script := "i=0; while [ $i -lt 20000 ]; do i=$((i+1)); done; echo " + readyWord + "; exec cat <>" + fifo(t)
@@ -135,12 +144,12 @@
 		t.Fatal(err)
 	}
 	if word := <-log; word != readyWord+"\n" {
-		t.Fatalf("it said %q", word)
+		t.Fatalf("its output is %q", word)
 	}
 	return process
 }
 
-// chanWriter hands on what is written.
+// chanWriter sends what is written to it.
 type chanWriter chan string
 
 func (c chanWriter) Write(data []byte) (int, error) {
@@ -157,7 +166,7 @@
 	return path
 }
 
-func TestAProcessIsKnownUntilItEnds(t *testing.T) {
+func TestProcessReportsUsageUntilItEnds(t *testing.T) {
 	budget := NewBudget()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -175,10 +184,10 @@
 	}
 	cancel()
 	<-process.Ended()
-	if _, err := process.Usage(); !errors.Is(err, ErrEnded) {
+	if _, err := process.Usage(); !errors.Is(err, ErrProcessEnded) {
 		t.Errorf("usage after the end: %v", err)
 	}
-	if err := process.Signal(syscall.SIGTERM); !errors.Is(err, ErrEnded) {
+	if err := process.Signal(syscall.SIGTERM); !errors.Is(err, ErrProcessEnded) {
 		t.Errorf("signal after the end: %v", err)
 	}
 	if err := process.Err(); err == nil || !strings.Contains(err.Error(), "terminated") {
@@ -188,11 +197,11 @@
 		t.Errorf("%d processes", budget.Processes())
 	}
 	if _, err := StartProgram(ctx, Env{Budget: budget}, Program{Path: "/bin/sh"}); !errors.Is(err, context.Canceled) {
-		t.Errorf("a start after the end: %v", err)
+		t.Errorf("start after the end of the context: %v", err)
 	}
 }
 
-func TestStopAllLeavesNothing(t *testing.T) {
+func TestStopAllEndsEveryProcess(t *testing.T) {
 	budget := NewBudget()
 	list := []*Process{startCat(t, t.Context(), budget, nil), startCat(t, t.Context(), budget, nil)}
 	budget.StopAll()
@@ -200,12 +209,12 @@
 		select {
 		case <-process.Ended():
 		default:
-			t.Error("a process is still there")
+			t.Error("a process still runs")
 		}
 	}
 }
 
-func TestAProcessRunsOnItsCores(t *testing.T) {
+func TestProcessRunsOnItsCores(t *testing.T) {
 	allowed, err := AllowedCores()
 	if err != nil || len(allowed) == 0 {
 		t.Fatalf("cores %v, %v", allowed, err)
@@ -221,25 +230,25 @@
 		t.Errorf("the tool runs on %v, %v; want %v", now, err, allowed)
 	}
 	if _, err := StartProgram(t.Context(), Env{Budget: NewBudget()}, Program{Path: "/bin/sh", Cores: []int{-1}}); err == nil {
-		t.Error("a core below 0 is no error")
+		t.Error("core -1: no error")
 	}
 }
 
-func TestAReservedPortIsNobodyElses(t *testing.T) {
-	place, err := reserve()
+func TestReservePortGivesDistinctPorts(t *testing.T) {
+	port, err := reservePort()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer place.close()
-	if !strings.HasPrefix(place.address, "127.0.0.1:") || strings.HasSuffix(place.address, ":0") {
-		t.Errorf("reserved %s", place.address)
+	defer port.close()
+	if !strings.HasPrefix(port.address, "127.0.0.1:") || strings.HasSuffix(port.address, ":0") {
+		t.Errorf("reserved %s", port.address)
 	}
-	other, err := reserve()
+	other, err := reservePort()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer other.close()
-	if other.address == place.address {
-		t.Errorf("%s is reserved twice", place.address)
+	if other.address == port.address {
+		t.Errorf("%s is reserved twice", port.address)
 	}
 }
--- a/internal/scale/scaletest/scaletest.go
+++ b/internal/scale/scaletest/scaletest.go
@@ -1,4 +1,5 @@
-// Package scaletest helps tests of experiments: it builds the real proxy's program and makes what an experiment is given.
+// Package scaletest supports tests of experiments: it builds the real proxy's program, makes environments and checks
+// figures.
 package scaletest
 
 import (
@@ -18,7 +19,7 @@
 	"baylock/internal/scale"
 )
 
-// program is the path of the real proxy's program during the tests of a package.
+// program is the path of the real proxy's program while the tests of a package run.
 var program string
 
 // Main builds the real proxy's program, runs the tests of a package and returns the exit code. TestMain calls it.
@@ -41,15 +42,14 @@
 	return 1
 }
 
-// MainInMemory runs the tests of a package whose plays are on synctest's clock, on one thread, and returns the exit code.
-// The race detector's own runtime ended 1 of 19 runs of such a package (tsan_rtl.cpp:346), and one of another by a SIGSEGV,
-// where thousands of goroutines passed between threads. A play gains nothing from more than one.
+// MainInMemory runs the tests of a package whose experiments run under synctest, on one thread, and returns the exit code.
+// The race detector's runtime can crash where thousands of goroutines move between threads (tsan_rtl.cpp:346).
 func MainInMemory(m *testing.M) int {
 	runtime.GOMAXPROCS(1)
 	return m.Run()
 }
 
-// Env gives an experiment what it needs for a small run with seed 1. All that it starts is ended with the test.
+// Env returns the environment of a small run with seed 1. All processes of the run are stopped at the end of the test.
 func Env(t *testing.T) scale.Env {
 	t.Helper()
 	cores, err := scale.AllowedCores()
@@ -62,33 +62,33 @@
 		Progress: t.Logf, Log: slog.New(slog.DiscardHandler)}
 }
 
-// EnvInMemory gives an experiment that starts no processes what it needs for a small run.
+// EnvInMemory returns the environment of a small run that starts no processes.
 func EnvInMemory(seed uint64) scale.Env {
 	return scale.Env{Seed: seed, Small: true, Progress: func(string, ...any) {}, Log: slog.New(slog.DiscardHandler)}
 }
 
-// CheckEndOfContext checks that an experiment in memory ends at once when its context does. It runs in a bubble of synctest.
+// CheckEndOfContext checks, in a synctest bubble, that an experiment in memory ends as soon as its context does.
 func CheckEndOfContext(t *testing.T, experiment scale.Experiment, seed uint64) {
 	t.Helper()
 	const (
-		end  = 2500 * time.Millisecond
-		late = 100 * time.Millisecond
+		timeout   = 2500 * time.Millisecond
+		tolerance = 100 * time.Millisecond
 	)
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithTimeout(t.Context(), end)
+		ctx, cancel := context.WithTimeout(t.Context(), timeout)
 		defer cancel()
 		begin := time.Now()
 		_, err := experiment.Run(ctx, EnvInMemory(seed))
-		if !errors.Is(err, context.DeadlineExceeded) || time.Since(begin) > end+late {
+		if !errors.Is(err, context.DeadlineExceeded) || time.Since(begin) > timeout+tolerance {
 			t.Errorf("error %v after %v", err, time.Since(begin))
 		}
 	})
 }
 
-// FigureName tells one figure of a result from the others.
+// FigureName identifies a figure of a result.
 type FigureName struct{ Case, Quantity string }
 
-// CheckFigures checks that figures are whole, come from one source, and that none is given twice. It gives their names.
+// CheckFigures checks that figures are complete, distinct and of the given source. It returns their names.
 func CheckFigures(t *testing.T, figures []scale.Figure, source scale.Source) map[FigureName]bool {
 	t.Helper()
 	seen := map[FigureName]bool{}
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -1,72 +1,73 @@
 package scale
 
-// Settings is the settings object of a proxy's configuration, in the form and the units in which proxies read it.
+// Settings is the settings object of a proxy's configuration. The tags hold its names; the fields have those of
+// balancer.Settings. Durations are in microseconds.
 type Settings struct {
-	Contract   Contract  `json:"contract"`
-	CountedBy  string    `json:"counted_by"`
-	Zones      []string  `json:"failure_domains"`
-	Limits     Limits    `json:"limits"`
-	Membership string    `json:"membership_mode"` // Pushed or Asked
-	Zone       int       `json:"my_zone"`
-	Ordinal    int       `json:"ordinal"`
-	Profiles   []Profile `json:"profiles"`
-	Siblings   int       `json:"siblings"`
-	Stage      int       `json:"stage"`
-	Tenants    []Tenant  `json:"tenants"`
-	Weights    string    `json:"weights"`
+	Rules         Rules    `json:"contract"`
+	WeightUnit    string   `json:"counted_by"`
+	Zones         []string `json:"failure_domains"`
+	Limits        Limits   `json:"limits"`
+	Membership    string   `json:"membership_mode"` // Pushed or Polled
+	Zone          int      `json:"my_zone"`
+	ReplicaIndex  int      `json:"ordinal"`
+	Classes       []Class  `json:"profiles"`
+	Replicas      int      `json:"siblings"`
+	Tier          int      `json:"stage"`
+	Tenants       []Tenant `json:"tenants"`
+	CapacityHints string   `json:"weights"`
 }
 
-// The ways in which a proxy gets its list.
+// The ways in which a proxy gets updates of its endpoint list.
 const (
-	Pushed = "automatic" // an agent on its machine answers at once
-	Asked  = "subscribe" // from a service that all proxies share
+	Pushed = "automatic" // from an agent on its machine, which responds at once
+	Polled = "subscribe" // from a service that all proxies share
 )
 
-// Contract holds the figures of the rules.
-type Contract struct {
-	AskEvery      int64   `json:"ask_every_us"`
-	Cold          int64   `json:"cold_us"`
-	DrainGrace    int64   `json:"drain_grace_us"`
-	StartCapacity float64 `json:"start_capacity"`
-	TipMultiple   float64 `json:"tip_multiple"`
+// Rules is what backends and the discovery service require of a proxy.
+type Rules struct {
+	MaxPollInterval   int64   `json:"ask_every_us"`
+	SlowStartDuration int64   `json:"cold_us"`
+	DrainGrace        int64   `json:"drain_grace_us"`
+	SlowStartCapacity float64 `json:"start_capacity"`
+	SlowStartOverload float64 `json:"tip_multiple"`
 }
 
-// Limits is what a site permits.
+// Limits is what the deployment permits.
 type Limits struct {
-	DialTimeout   int64 `json:"dial_timeout_us"`
-	IdleClose     int64 `json:"idle_close_us"`
-	MaxRetryAfter int64 `json:"max_retry_after_us"`
-	RetryAfter    bool  `json:"retry_after"`
-	TryLimit      int   `json:"try_limit"`
+	DialTimeout     int64 `json:"dial_timeout_us"`
+	IdleClose       int64 `json:"idle_close_us"`
+	MaxRetryAfter   int64 `json:"max_retry_after_us"`
+	RetryAfterHints bool  `json:"retry_after"`
+	MaxAttempts     int   `json:"try_limit"`
 }
 
-// Profile is a class of calls.
-type Profile struct {
-	Name      string  `json:"name"`
-	Repeat    string  `json:"repeat"` // Idempotent, Deduplicated or AtMostOnce
-	Scope     string  `json:"dedup_scope,omitempty"`
-	Window    int64   `json:"dedup_window_us,omitempty"`
-	Objective int64   `json:"objective_us"`
-	GiveUp    int64   `json:"give_up_us"`
-	LateShare float64 `json:"late_share"`
-	Worth     float64 `json:"worth"`
+// Class is a class of requests.
+type Class struct {
+	Name             string  `json:"name"`
+	Idempotency      string  `json:"repeat"` // Idempotent, IdempotentWithKey or NotIdempotent
+	DedupScope       string  `json:"dedup_scope,omitempty"`
+	DedupWindow      int64   `json:"dedup_window_us,omitempty"`
+	LatencyObjective int64   `json:"objective_us"`
+	Deadline         int64   `json:"give_up_us"`
+	LateFraction     float64 `json:"late_share"`
+	PriorityWeight   float64 `json:"worth"`
 }
 
-// How often a call of a class may run.
+// The values of Class.Idempotency.
 const (
-	Idempotent   = "idempotent"
-	Deduplicated = "deduplicated"
-	AtMostOnce   = "at_most_once"
+	Idempotent        = "idempotent"
+	IdempotentWithKey = "deduplicated"
+	NotIdempotent     = "at_most_once"
 )
 
-// Tenant is one origin of calls.
+// Tenant is a tenant.
 type Tenant struct {
-	Name    string  `json:"name"`
-	Portion float64 `json:"portion"`
-	Quota   float64 `json:"quota_per_s"`
+	Name      string  `json:"name"`
+	Share     float64 `json:"portion"`
+	RateQuota float64 `json:"quota_per_s"`
 }
 
-// The classes, tenants and zones of DefaultSettings.
+// The classes and tenants of DefaultSettings.
 const (
 	ReadClass  = "read"
 	WriteClass = "write"
@@ -74,33 +75,52 @@
 	TenantB    = "tenant-b"
 )
 
-// DefaultZones are the zones of DefaultSettings, by index.
+// DefaultZones returns the zones of DefaultSettings, by index.
 func DefaultZones() []string {
 	return []string{"zone-1", "zone-2", "zone-3", "zone-4", "zone-5"}
 }
 
-// DefaultSettings gives settings that fit most experiments: two classes, two tenants whose quotas no experiment
-// reaches, five zones, and one proxy to the tier. Membership is Pushed or Asked.
+// The unit of durations is the microsecond.
+const (
+	microsecondsPerMillisecond = 1_000
+	microsecondsPerSecond      = 1_000_000
+)
+
+// DefaultSettings returns settings that fit most experiments: two classes, two tenants whose quotas no experiment
+// reaches, five zones, and one proxy of the tier. Membership is Pushed or Polled.
 func DefaultSettings(membership string) Settings {
-	const (
-		second      = 1_000_000
-		millisecond = 1_000
-		quota       = 100_000
-	)
+	const quota = 100_000
+	class := func(name, idempotency string) Class {
+		return Class{
+			Name:             name,
+			Idempotency:      idempotency,
+			LatencyObjective: microsecondsPerSecond,
+			Deadline:         2 * microsecondsPerSecond,
+			LateFraction:     0.25,
+			PriorityWeight:   1,
+		}
+	}
 	return Settings{
-		Contract: Contract{AskEvery: 10 * second, Cold: 8 * second, DrainGrace: second / 2, StartCapacity: 0.3,
-			TipMultiple: 3},
-		CountedBy: "request",
-		Zones:     DefaultZones(),
-		Limits: Limits{DialTimeout: 250 * millisecond, IdleClose: 30 * second, MaxRetryAfter: 2 * second,
-			RetryAfter: true, TryLimit: 4},
-		Membership: membership,
-		Profiles: []Profile{
-			{Name: ReadClass, Repeat: Idempotent, Objective: second, GiveUp: 2 * second, LateShare: 0.25, Worth: 1},
-			{Name: WriteClass, Repeat: AtMostOnce, Objective: second, GiveUp: 2 * second, LateShare: 0.25, Worth: 1},
+		Rules: Rules{
+			MaxPollInterval:   10 * microsecondsPerSecond,
+			SlowStartDuration: 8 * microsecondsPerSecond,
+			DrainGrace:        microsecondsPerSecond / 2,
+			SlowStartCapacity: 0.3,
+			SlowStartOverload: 3,
+		},
+		WeightUnit: "request",
+		Zones:      DefaultZones(),
+		Limits: Limits{
+			DialTimeout:     250 * microsecondsPerMillisecond,
+			IdleClose:       30 * microsecondsPerSecond,
+			MaxRetryAfter:   2 * microsecondsPerSecond,
+			RetryAfterHints: true,
+			MaxAttempts:     4,
 		},
-		Siblings: 1,
-		Tenants:  []Tenant{{TenantA, 0.5, quota}, {TenantB, 0.5, quota}},
-		Weights:  "off",
+		Membership:    membership,
+		Classes:       []Class{class(ReadClass, Idempotent), class(WriteClass, NotIdempotent)},
+		Replicas:      1,
+		Tenants:       []Tenant{{TenantA, 0.5, quota}, {TenantB, 0.5, quota}},
+		CapacityHints: "off",
 	}
 }
--- a/internal/scale/slopes/slopes.go
+++ b/internal/scale/slopes/slopes.go
@@ -51,14 +51,14 @@
 	membership string
 }
 
-func modes() []mode { return []mode{{"pushed", scale.Pushed}, {"asked", scale.Asked}} }
+func modes() []mode { return []mode{{"pushed", scale.Pushed}, {"asked", scale.Polled}} }
 
 func run(ctx context.Context, env scale.Env) (scale.Result, error) {
 	p := fullPlan()
 	if env.Small {
 		p = smallPlan()
 	}
-	return scale.Apart(env.Cores, func(cores []int) (scale.Result, error) { return measureOn(ctx, env, p, cores) })
+	return scale.WithSeparateCores(env.Cores, func(cores []int) (scale.Result, error) { return measureOn(ctx, env, p, cores) })
 }
 
 // measureOn measures with the proxies on the given cores.
--- a/internal/scale/slopes/subject.go
+++ b/internal/scale/slopes/subject.go
@@ -50,7 +50,7 @@
 		return nil, err
 	}
 	s.endpoints = s.backend.Endpoints(size, scale.DefaultZones())
-	s.registry, err = registry.New(registry.Config{Poll: m.membership == scale.Asked, LogLimit: logLimit,
+	s.registry, err = registry.New(registry.Config{Poll: m.membership == scale.Polled, LogLimit: logLimit,
 		Replicas:  []registry.ReplicaConfig{{Name: "replica-1", Zone: zone, Region: region}},
 		Random:    rand.New(rand.NewPCG(env.Seed, seedStride)),
 		OnRequest: func(o registry.Observation) { s.taken.raise(o.Complete) }})
@@ -151,7 +151,7 @@
 	case <-time.After(length):
 		return nil
 	case <-s.proxy.Ended():
-		return errors.Join(scale.ErrEnded, s.proxy.Err())
+		return errors.Join(scale.ErrProcessEnded, s.proxy.Err())
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
--- a/internal/scale/table.go
+++ b/internal/scale/table.go
@@ -9,15 +9,18 @@
 	"time"
 )
 
+// displayPrecision is that of the duration of a run.
+const displayPrecision = 100 * time.Millisecond
+
 var columns = []string{"case", "quantity", "value", "unit", "target", "met", "source", "samples"}
 
-// WriteTable shows a result as a table for the terminal.
+// WriteTable writes a result as a table for the terminal.
 func WriteTable(w io.Writer, r Result) error {
 	if _, err := fmt.Fprintln(w, r.title()); err != nil {
 		return err
 	}
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, strings.ToUpper(strings.Join(columns, "\t"))) // errors show at Flush
+	fmt.Fprintln(table, strings.ToUpper(strings.Join(columns, "\t"))) // Flush returns write errors
 	for _, f := range r.Figures {
 		fmt.Fprintln(table, strings.Join(f.cells(), "\t"))
 	}
@@ -32,7 +35,7 @@
 	return nil
 }
 
-// WriteMarkdown shows a result as a table in Markdown.
+// WriteMarkdown writes a result as a table in Markdown.
 func WriteMarkdown(w io.Writer, r Result) error {
 	var b strings.Builder
 	b.WriteString(r.title() + "\n\n")
@@ -59,6 +62,7 @@
 	return "| " + strings.Join(escaped, " | ") + " |\n"
 }
 
+// title returns the line above a result's table.
 func (r Result) title() string {
 	form := ""
 	if r.Small {
@@ -69,29 +73,29 @@
 		commit = "unknown"
 	}
 	return fmt.Sprintf("%s%s: %s, commit %s, seed %d, took %v, cores %v of %d (%s, %s)", r.Experiment, form,
-		r.Started.UTC().Format(time.RFC3339), commit, r.Seed, took(r.Took), r.Machine.Allowed, r.Machine.Cores,
+		r.Started.UTC().Format(time.RFC3339), commit, r.Seed, r.Duration.Round(displayPrecision), r.Machine.Allowed, r.Machine.Cores,
 		r.Machine.System, r.Machine.Go)
 }
 
-// cells gives a figure's columns.
+// cells returns a figure's columns.
 func (f Figure) cells() []string {
 	target, met, samples := "", "", ""
 	if f.Target != nil {
-		target, met = "<= "+number(*f.Target), "yes"
-		if !f.Meets() {
+		target, met = "<= "+formatNumber(*f.Target), "yes"
+		if !f.MeetsTarget() {
 			met = "NO"
 		}
 	}
 	if f.Samples > 0 {
 		samples = strconv.Itoa(f.Samples)
 	}
-	return []string{f.Case, f.Quantity, number(f.Value), f.Unit, target, met, string(f.Source), samples}
+	return []string{f.Case, f.Quantity, formatNumber(f.Value), f.Unit, target, met, string(f.Source), samples}
 }
 
-// number writes a figure with four digits that count, and all digits of a whole number.
-func number(x float64) string {
-	const digits, whole = 4, 1000
-	if x >= whole || x <= -whole {
+// formatNumber formats a value with four significant digits, or as an integer from 1,000 on.
+func formatNumber(x float64) string {
+	const digits, integersFrom = 4, 1000
+	if x >= integersFrom || x <= -integersFrom {
 		return strconv.FormatFloat(x, 'f', 0, 64)
 	}
 	return strconv.FormatFloat(x, 'g', digits, 64)
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -11,20 +11,20 @@
 	"unsafe"
 )
 
-const selfPID = 0 // stands for the tool's own process
+const selfPID = 0 // the tool's own process
 
-// Usage is what a process has used since its start, and the memory that it holds now.
+// Usage is the resource usage of a process since its start, and its present memory.
 type Usage struct {
-	CPU       time.Duration // user and system time, of all threads
-	Resident  int64         // bytes of resident memory
-	Anonymous int64         // the part of it that is no file: heap and stacks
-	Peak      int64         // the most that Resident has been
-	// What read and write calls have moved, on sockets as well as files.
+	CPU       time.Duration // user and system time of all threads
+	Resident  int64         // memory in bytes
+	Anonymous int64         // the part of Resident that is heap and stacks
+	Peak      int64         // highest Resident so far
+	// Bytes and number of read and write calls, on sockets as well as files.
 	ReadBytes, WrittenBytes int64
 	ReadCalls, WriteCalls   int64
 }
 
-// Minus gives what was used since an earlier look; memory stays as it is now.
+// Minus returns the usage since an earlier one. The memory figures stay those of u.
 func (u Usage) Minus(earlier Usage) Usage {
 	u.CPU -= earlier.CPU
 	u.ReadBytes -= earlier.ReadBytes
@@ -34,6 +34,7 @@
 	return u
 }
 
+// processUsage reads a process's usage from /proc and its CPU clock.
 func processUsage(pid int) (Usage, error) {
 	cpu, err := cpuTime(pid)
 	if err != nil {
@@ -53,25 +54,25 @@
 		ReadBytes: io["rchar"], WrittenBytes: io["wchar"], ReadCalls: io["syscr"], WriteCalls: io["syscw"]}, nil
 }
 
-// residentMemory reads one figure only, since it is looked at often and for many processes.
+// residentMemory returns a process's resident memory in bytes. It is cheaper than processUsage.
 func residentMemory(pid int) (int64, error) {
 	data, err := os.ReadFile(procFile(pid, "statm"))
 	if err != nil {
 		return 0, err
 	}
 	words := strings.Fields(string(data))
-	const residentPages = 1 // its place in the line
+	const residentPages = 1 // index of the field
 	if len(words) <= residentPages {
-		return 0, fmt.Errorf("memory of process %d: unknown form %q", pid, data)
+		return 0, fmt.Errorf("memory of process %d: unknown format %q", pid, data)
 	}
 	pages, err := strconv.ParseInt(words[residentPages], 10, 64)
 	return pages * int64(os.Getpagesize()), err
 }
 
-// OwnCPU is the processor time that the tool's own process has used.
+// OwnCPU returns the CPU time of the tool's own process.
 func OwnCPU() (time.Duration, error) { return cpuTime(selfPID) }
 
-// cpuTime reads the clock of a process's CPU time, which counts nanoseconds where /proc counts in ticks of 10 ms.
+// cpuTime returns a process's CPU time from its clock, which counts nanoseconds, unlike /proc with ticks of 10 ms.
 func cpuTime(pid int) (time.Duration, error) {
 	const (
 		ownCPUClock = 2 // CLOCK_PROCESS_CPUTIME_ID
@@ -90,7 +91,7 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// procFields reads a file of /proc that has "name: number" on each line; other lines are left out.
+// procFields reads a file of /proc with "name: number" on each line. Other lines are ignored.
 func procFields(pid int, file string) (map[string]int64, error) {
 	data, err := os.ReadFile(procFile(pid, file))
 	if err != nil {
@@ -121,16 +122,16 @@
 	return fields
 }
 
-// machineMemory is the memory of this machine in bytes.
+// machineMemory returns the memory of this machine in bytes; 0 if it is unknown, so that nothing may be used.
 func machineMemory() int64 {
 	data, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
-		return 0 // nothing may be used of what can't be known
+		return 0
 	}
 	return parseFields(string(data))["MemTotal"] << 10
 }
 
-// gone tells whether an error of a look at a process means that it has ended.
-func gone(err error) bool {
+// isGone reports whether an error of reading a process's usage means that it has ended.
+func isGone(err error) bool {
 	return errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ESRCH) || errors.Is(err, syscall.EINVAL)
 }
