--- a/.ci/start/main.go
+++ b/.ci/start/main.go
@@ -1,5 +1,6 @@
-// Command start starts the proxy by the command in CI_RUN, with a list that it knows and no discovery, asks
-// for its health over loopback, sends it SIGHUP several times, and ends it with SIGTERM and one SIGHUP more.
+// Command start checks that the proxy starts and shuts down. It starts the proxy with the command in the environment
+// variable CI_RUN, with a known endpoint list and no discovery service; waits until it is healthy, also after SIGHUP;
+// and stops it with SIGTERM and another SIGHUP.
 package main
 
 import (
@@ -14,13 +15,17 @@
 	"time"
 )
 
-const config = `{"name":"n0","listen":%q,"discovery":"127.0.0.1:1","seed":"1","limits":{"cores":1,"memory_mb":192,` +
+// configFormat is the proxy's configuration, with a verb for its listen address.
+const configFormat = `{"name":"n0","listen":%q,"discovery":"127.0.0.1:1","seed":"1","limits":{"cores":1,"memory_mb":192,` +
 	`"sockets":256},"known":{"index":1,"snapshot":true,"endpoints":[{"name":"a","address":"127.0.0.1:1","zone":"a",` +
 	`"status":"SERVING","since_ms":0}]},"settings":{"contract":{},"failure_domains":["a"],"limits":{` +
 	`"dial_timeout_us":100000,"idle_close_us":1000000,"try_limit":2},"membership_mode":"automatic","profiles":[{` +
 	`"give_up_us":1000000,"name":"look","objective_us":500000,"repeat":"idempotent","worth":1}],"siblings":1}}`
 
-const patience = 30 * time.Second
+const (
+	timeout        = 30 * time.Second // of the start and of the shutdown
+	healthInterval = 20 * time.Millisecond
+)
 
 func main() {
 	if err := run(); err != nil {
@@ -31,66 +36,107 @@
 }
 
 func run() error {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	dir, err := os.MkdirTemp("", "start")
 	if err != nil {
 		return err
 	}
-	addr := l.Addr().String()
-	l.Close()
-	dir, err := os.MkdirTemp("", "start")
+	defer os.RemoveAll(dir)
+	p, err := startProxy(dir)
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
-	path := filepath.Join(dir, "config.json")
-	if err := os.WriteFile(path, fmt.Appendf(nil, config, addr), 0o600); err != nil {
+	defer func() { _ = p.command.Process.Kill() }() // it has ended unless a check failed
+	if err := p.waitUntilHealthy(); err != nil {
 		return err
 	}
-	cmd := exec.Command("/bin/sh", "-c", os.Getenv("CI_RUN"))
-	cmd.Env = append(os.Environ(), "LB_CONFIG="+path)
-	cmd.Stderr = os.Stderr
-	if err := cmd.Start(); err != nil {
+	if err := p.signal(syscall.SIGHUP, syscall.SIGHUP, syscall.SIGHUP); err != nil {
 		return err
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- cmd.Wait() }()
-	defer func() { _ = cmd.Process.Kill() }()
-	for end := time.Now().Add(patience); !healthy(addr); time.Sleep(20 * time.Millisecond) {
+	if !p.healthy() {
+		return errors.New("not healthy after SIGHUP")
+	}
+	if err := p.signal(syscall.SIGTERM, syscall.SIGHUP); err != nil {
+		return err
+	}
+	return p.waitForExit()
+}
+
+// proxy is the proxy's process.
+type proxy struct {
+	command *exec.Cmd
+	address string // host:port for clients
+	exited  chan error
+}
+
+// startProxy starts the proxy with its configuration file in a folder.
+func startProxy(dir string) (*proxy, error) {
+	address, err := freeAddress()
+	if err != nil {
+		return nil, err
+	}
+	config := filepath.Join(dir, "config.json")
+	if err := os.WriteFile(config, fmt.Appendf(nil, configFormat, address), 0o600); err != nil {
+		return nil, err
+	}
+	command := exec.Command("/bin/sh", "-c", os.Getenv("CI_RUN"))
+	command.Env = append(os.Environ(), "LB_CONFIG="+config)
+	command.Stderr = os.Stderr
+	if err := command.Start(); err != nil {
+		return nil, err
+	}
+	p := &proxy{command: command, address: address, exited: make(chan error, 1)}
+	go func() { p.exited <- command.Wait() }()
+	return p, nil
+}
+
+// freeAddress returns an address of 127.0.0.1 with a free port.
+func freeAddress() (string, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return "", err
+	}
+	defer listener.Close()
+	return listener.Addr().String(), nil
+}
+
+func (p *proxy) waitUntilHealthy() error {
+	for deadline := time.Now().Add(timeout); !p.healthy(); time.Sleep(healthInterval) {
 		select {
-		case err := <-ended:
-			return fmt.Errorf("it ended early: %v", err)
+		case err := <-p.exited:
+			return fmt.Errorf("exited early: %v", err)
 		default:
 		}
-		if time.Now().After(end) {
-			return fmt.Errorf("not healthy after %v", patience)
-		}
-	}
-	for _, s := range []os.Signal{syscall.SIGHUP, syscall.SIGHUP, syscall.SIGHUP} {
-		if err := cmd.Process.Signal(s); err != nil {
-			return err
+		if time.Now().After(deadline) {
+			return fmt.Errorf("not healthy after %v", timeout)
 		}
 	}
-	if !healthy(addr) {
-		return errors.New("not healthy after SIGHUP")
+	return nil
+}
+
+func (p *proxy) healthy() bool {
+	response, err := http.Get("http://" + p.address + "/_health")
+	if err != nil {
+		return false
 	}
-	for _, s := range []os.Signal{syscall.SIGTERM, syscall.SIGHUP} {
-		if err := cmd.Process.Signal(s); err != nil {
-			return err
+	response.Body.Close()
+	return response.StatusCode == http.StatusOK
+}
+
+func (p *proxy) signal(signals ...os.Signal) error {
+	for _, signal := range signals {
+		if err := p.command.Process.Signal(signal); err != nil {
+			return fmt.Errorf("%v: %w", signal, err)
 		}
 	}
-	select {
-	case err := <-ended:
-		return err
-	case <-time.After(patience):
-		return fmt.Errorf("still there %v after SIGTERM", patience)
-	}
+	return nil
 }
 
-func healthy(addr string) bool {
-	resp, err := http.Get("http://" + addr + "/_health")
-	if err != nil {
-		return false
+// waitForExit returns an error unless the proxy exits with 0 in time.
+func (p *proxy) waitForExit() error {
+	select {
+	case err := <-p.exited:
+		return err
+	case <-time.After(timeout):
+		return fmt.Errorf("still running %v after SIGTERM", timeout)
 	}
-	resp.Body.Close()
-	return resp.StatusCode == http.StatusOK
 }
--- a/test.sh
+++ b/test.sh
@@ -1,25 +1,56 @@
 #!/usr/bin/env bash
-# The whole test suite: formatting, vet, staticcheck (all its checks, see staticcheck.conf), tests, and the width of
-# the policy files.
-set -eu
+# Runs the whole test suite: formatting, vet, staticcheck (all checks, see staticcheck.conf), tests, and checks of the
+# files of decisions that deploy/balancer.toml names under "policy".
+set -euo pipefail
 cd "$(dirname "$0")"
 
 max_columns=110
+tab='    ' # counts as four columns
 
-unformatted=$(gofmt -l .)
-if [ -n "$unformatted" ]; then
-  printf 'not formatted by gofmt:\n%s\n' "$unformatted"
+# Files of balancer/ without decisions: documentation, types and settings.
+no_decisions=(balancer/doc.go balancer/api.go balancer/settings.go balancer/time.go)
+
+fail() {
+  printf '%s:\n' "$1"
+  printf '  %s\n' "${@:2}"
   exit 1
-fi
+}
+
+check_formatting() {
+  local files
+  files=$(gofmt -l .)
+  [ -z "$files" ] || fail 'not formatted by gofmt' "$files"
+}
+
+# decision_files prints the non-test files of balancer/ that hold decisions.
+decision_files() {
+  local file
+  for file in balancer/*.go; do
+    [[ $file == *_test.go || " ${no_decisions[*]} " == *" $file "* ]] || echo "$file"
+  done
+}
+
+check_policy() {
+  local policy file missing=() long
+  read -r -a policy <<<"$(sed -n 's/^policy = \[\(.*\)\].*/\1/p' deploy/balancer.toml | tr -d '",')"
+  [ ${#policy[@]} -gt 0 ] || fail 'no policy files' deploy/balancer.toml
+
+  for file in "${policy[@]}"; do
+    [ -f "$file" ] || missing+=("$file")
+  done
+  [ ${#missing[@]} -eq 0 ] || fail 'policy files that do not exist' "${missing[@]}"
+
+  for file in $(decision_files); do
+    [[ " ${policy[*]} " == *" $file "* ]] || missing+=("$file")
+  done
+  [ ${#missing[@]} -eq 0 ] || fail 'files of decisions that policy does not name' "${missing[@]}"
+
+  long=$(sed "s/\t/$tab/g" "${policy[@]}" | awk -v max=$max_columns 'length($0) > max')
+  [ -z "$long" ] || fail "lines over $max_columns columns" "$long"
+}
+
+check_formatting
 go vet ./...
 go tool staticcheck ./...
 go test -race ./...
-
-policy=$(sed -n 's/^policy = \[\(.*\)\].*/\1/p' deploy/balancer.toml | tr -d '",')
-[ -n "$policy" ] || { echo 'deploy/balancer.toml names no policy files'; exit 1; }
-# A tab counts as four columns.
-long=$(cat $policy | sed 's/\t/    /g' | awk -v m=$max_columns 'length($0) > m')
-if [ -n "$long" ]; then
-  printf 'lines over %s columns:\n%s\n' "$max_columns" "$long"
-  exit 1
-fi
+check_policy
