--- /dev/null
+++ b/internal/backendtest/backendtest.go
@@ -0,0 +1,127 @@
+// Package backendtest helps tests that need a backend on a loopback socket whose responses are written byte by byte.
+package backendtest
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// Patience is the time limit of what must happen.
+const Patience = 20 * time.Second
+
+// OK is a complete response with the body "ok".
+const OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+
+const maxConnections = 1000 // of one backend, for the buffer of Closed
+
+// Backend is a backend on a loopback socket.
+type Backend struct {
+	Address     string
+	Requests    atomic.Int32  // received completely; not counted by StartRaw
+	Begun       atomic.Int32  // of which a byte has been received
+	Connections atomic.Int32  // accepted
+	Closed      chan struct{} // receives once for each connection that has ended
+}
+
+// Responder writes the response to the n-th request and reports whether the connection stays open.
+type Responder func(w io.Writer, r *http.Request, n int) (keepAlive bool)
+
+// Start starts a backend that responds to complete requests. It ends with the test.
+func Start(t *testing.T, respond Responder) *Backend {
+	t.Helper()
+	var b *Backend
+	ready := make(chan struct{})
+	b = StartRaw(t, func(w io.Writer, r *http.Request) bool {
+		if _, err := io.Copy(io.Discard, r.Body); err != nil {
+			return false
+		}
+		<-ready
+		return respond(w, r, int(b.Requests.Add(1)))
+	})
+	close(ready)
+	return b
+}
+
+// StartRaw starts a backend whose handler reads the bodies of requests itself. It ends with the test.
+func StartRaw(t *testing.T, handle func(w io.Writer, r *http.Request) (keepAlive bool)) *Backend {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	b := &Backend{Address: l.Addr().String(), Closed: make(chan struct{}, maxConnections)}
+	go b.accept(l, handle)
+	return b
+}
+
+func (b *Backend) accept(l net.Listener, handle func(w io.Writer, r *http.Request) bool) {
+	for {
+		c, err := l.Accept()
+		if err != nil {
+			return
+		}
+		b.Connections.Add(1)
+		go func() {
+			defer func() { c.Close(); b.Closed <- struct{}{} }()
+			b.serve(c, handle)
+		}()
+	}
+}
+
+func (b *Backend) serve(c net.Conn, handle func(w io.Writer, r *http.Request) bool) {
+	reader := bufio.NewReader(c)
+	for {
+		if _, err := reader.Peek(1); err != nil {
+			return
+		}
+		b.Begun.Add(1)
+		request, err := http.ReadRequest(reader)
+		if err != nil || !handle(c, request) {
+			return
+		}
+	}
+}
+
+// Respond returns a Responder that writes a text.
+func Respond(text string, keepAlive bool) Responder {
+	return func(w io.Writer, _ *http.Request, _ int) bool {
+		_, _ = io.WriteString(w, text)
+		return keepAlive
+	}
+}
+
+// Hang returns a Responder that writes nothing until the test ends.
+func Hang(t *testing.T) Responder {
+	t.Helper()
+	ended := make(chan struct{})
+	t.Cleanup(func() { close(ended) })
+	return func(io.Writer, *http.Request, int) bool { <-ended; return false }
+}
+
+// Receive returns what a channel receives. It fails the test after Patience, naming what is missing.
+func Receive[T any](t *testing.T, what string, c <-chan T) T {
+	t.Helper()
+	select {
+	case v := <-c:
+		return v
+	case <-time.After(Patience):
+		t.Fatalf("no %s", what)
+		panic("unreachable")
+	}
+}
+
+// WaitUntil waits until a condition holds. It fails the test after Patience.
+func WaitUntil(t *testing.T, condition func() bool) {
+	t.Helper()
+	for end := time.Now().Add(Patience); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("the condition never held")
+		}
+	}
+}
--- a/internal/proxy/body_test.go
+++ b/internal/proxy/body_test.go
@@ -19,6 +19,7 @@
 	"baylock/internal/discovery"
 	"baylock/internal/message"
 	"baylock/internal/settings"
+	"baylock/internal/upstream"
 )
 
 // text is a body whose every part differs.
@@ -100,7 +101,7 @@
 				if resp.StatusCode != 200 || got != body || resp.Close {
 					t.Fatalf("%d bytes in %s, answer %q: got %s with %d bytes, close %v", size, in, out, resp.Status, len(got), resp.Close)
 				}
-				rested(p.loop.pool)
+				time.Sleep(upstream.ReuseDelay) // idle connections may be used again
 			}
 		}
 	}
@@ -306,14 +307,9 @@
 	waitUntil(t, func() bool {
 		left := make(chan int, 1)
 		p.loop.post(func() { left <- len(p.loop.reqs) + p.loop.timers.Len() })
-		n := wait(t, "word of the loop", left) // before the lock, which the loop takes as well
-		p.loop.pool.mu.Lock()
-		defer p.loop.pool.mu.Unlock()
-		idle := 0
-		for _, b := range p.loop.pool.byName {
-			idle += len(b.idle)
-		}
-		return n == 0 && p.loop.pool.open == idle && p.front.budget.InUse() == 0
+		n := wait(t, "word of the loop", left)
+		pool := p.loop.pool.Stats()
+		return n == 0 && pool.Open == pool.Idle && p.front.budget.InUse() == 0
 	})
 }
 
--- a/internal/proxy/console.go
+++ b/internal/proxy/console.go
@@ -191,7 +191,7 @@
 	defer p.shared.mu.Unlock()
 	if id != "" && !slices.Contains(p.shared.now.Detached, id) {
 		listed := false
-		if err := p.loop.do(ctx, func() { listed = p.loop.pool.known(id) }); err != nil {
+		if err := p.loop.do(ctx, func() { listed = p.loop.pool.Contains(id) }); err != nil {
 			return err
 		}
 		if !listed {
--- a/internal/proxy/crowd_test.go
+++ b/internal/proxy/crowd_test.go
@@ -50,7 +50,7 @@
 		t.Errorf("%d of 20 served", ok)
 	}
 	up.Store(true)
-	waitUntil(t, func() bool { _, _, _, ok := p.loop.pool.find("a"); return !ok })
+	waitUntil(t, func() bool { _, ok := p.loop.pool.Find("a"); return !ok })
 	before := a.requests.Load()
 	if ok := p.asks(t, 20); ok != 20 || a.requests.Load() != before {
 		t.Errorf("after discovery's return %d of 20 served, %d by a backend that drains", ok, a.requests.Load()-before)
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -16,6 +16,7 @@
 
 	"baylock/balancer"
 	"baylock/internal/message"
+	"baylock/internal/upstream"
 )
 
 const (
@@ -114,13 +115,13 @@
 		f.reply(w, fault)
 		return
 	}
-	defer req.lease.Release()
+	defer req.upstream.Reservation.Release()
 	if f.bound.Load() {
 		req.ClientConnections, req.IdleConnections = f.clients.lines()
 	}
 	l := f.loop
 	l.post(func() { l.take(req) })
-	gone, u := r.Context().Done(), req.rest
+	gone, u := r.Context().Done(), req.upstream.Stream
 	if u != nil {
 		gone = nil // whoever passes the body on sees the client go, or only stop
 	}
@@ -267,13 +268,13 @@
 	case r.ContentLength != 0 && method == http.MethodGet:
 		return bad(http.StatusBadRequest, "a body on a GET")
 	}
-	req := &request{snapshot: now, method: method, uri: r.RequestURI, host: r.Host, lease: f.budget.Reserve(), answer: make(chan answer, 1),
-		left: func() bool { return conn != nil && conn.left() }}
+	req := &request{snapshot: now, answer: make(chan answer, 1), upstream: &upstream.Request{Method: method, URI: r.RequestURI,
+		Host: r.Host, Reservation: f.budget.Reserve(), ClientGone: func() bool { return conn != nil && conn.left() }}}
 	if err := f.body(w, r, req, conn, came); errors.Is(err, message.ErrTooLong) {
-		req.lease.Release()
+		req.upstream.Reservation.Release()
 		return bad(http.StatusRequestEntityTooLarge, err.Error())
 	} else if err != nil {
-		req.lease.Release()
+		req.upstream.Reservation.Release()
 		return bad(http.StatusBadRequest, "the body broke off")
 	}
 	tenant, ok := now.tenants[r.Header.Get("Tenant")]
@@ -282,10 +283,10 @@
 	}
 	// The time of a request counts from its last byte.
 	req.wait = wait - min(answerMargin, wait/marginPart)
-	req.header = passOn(r.Header)
+	req.upstream.Header = passOn(r.Header)
 	req.came = f.loop.clock.Now()
 	req.Request = balancer.Request{ID: id, Class: class, Tenant: tenant, Key: rest[strings.LastIndexByte(rest, '/')+1:],
-		Deadline: f.loop.clock.At(time.Now().Add(req.wait)), Streaming: req.rest != nil}
+		Deadline: f.loop.clock.At(time.Now().Add(req.wait)), Streaming: req.upstream.Stream != nil}
 	return req, answer{}
 }
 
@@ -298,7 +299,7 @@
 	u := message.NewRequestStream(r.Body, r.ContentLength, control, start)
 	var whole bool
 	var err error
-	if req.body, whole, err = u.Buffer(req.lease); err != nil {
+	if req.upstream.Body, whole, err = u.Buffer(req.upstream.Reservation); err != nil {
 		return err
 	}
 	if whole {
@@ -309,7 +310,7 @@
 		_ = control.SetReadDeadline(time.Time{})
 		return nil
 	}
-	req.rest = u
+	req.upstream.Stream = u
 	if conn != nil {
 		u.SetEndHook(conn.head.next)
 	}
--- a/internal/proxy/leaving_test.go
+++ b/internal/proxy/leaving_test.go
@@ -115,8 +115,8 @@
 			b := startBackend(t, says(served, true))
 			dialling, proceed := make(chan struct{}), make(chan struct{})
 			p := startSite(t, func(p *Proxy) {
-				dial := p.loop.pool.dialer
-				p.loop.pool.dialer = func(_ context.Context, network, addr string) (net.Conn, error) {
+				dial := p.loop.pool.DialContext
+				p.loop.pool.DialContext = func(_ context.Context, network, addr string) (net.Conn, error) {
 					c, err := dial(context.Background(), network, addr)
 					close(dialling)
 					<-proceed
@@ -137,8 +137,8 @@
 			dialling, proceed := make(chan struct{}), make(chan struct{})
 			first := true
 			p := startSite(t, func(p *Proxy) {
-				dial := p.loop.pool.dialer
-				p.loop.pool.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
+				dial := p.loop.pool.DialContext
+				p.loop.pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 					if !first {
 						return dial(ctx, network, addr)
 					}
@@ -192,7 +192,7 @@
 	t.Helper()
 	waitUntil(t, func() bool { return p.front.clients.count() == 0 })
 	nothingLeft(t, p)
-	p.loop.pool.apply(true, nil) // closes what is idle, so that the backend has read all that was sent
+	p.loop.pool.ApplyEndpoints(true, nil) // closes what is idle, so that the backend has read all that was sent
 	waitUntil(t, func() bool { return len(b.closed) == int(b.conns.Load()) })
 	if got := b.begun.Load(); got != n {
 		t.Errorf("%d requests were begun", got)
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -14,6 +14,7 @@
 	"baylock/internal/message"
 	"baylock/internal/microtime"
 	"baylock/internal/timing"
+	"baylock/internal/upstream"
 )
 
 const (
@@ -27,17 +28,10 @@
 // gets it; those below belong to the loop.
 type request struct {
 	balancer.Request
-	method string
-	uri    string // path and query as they came
-	host   string
-	header http.Header            // what goes on to the backend
-	body   []byte                 // what is held of the body
-	rest   *message.RequestStream // what is not; nil if all of it is held
-	came   balancer.Microseconds  // when its last byte had come
-	wait   time.Duration
-	lease  *message.Reservation // for what is held
-	left   func() bool          // whether its client has left
-	answer chan answer          // takes the one final answer without a wait
+	upstream *upstream.Request
+	came     balancer.Microseconds // when its last byte had come
+	wait     time.Duration
+	answer   chan answer // takes the one final answer without a wait
 
 	snapshot *snapshot // it was read under these settings; the loop's, once it has it
 
@@ -67,7 +61,7 @@
 type loop struct {
 	bal    *balancer.Balancer
 	clock  timing.Clock
-	pool   *backends
+	pool   *upstream.Pool
 	zones  discovery.Zones
 	log    *slog.Logger
 	events chan func()
@@ -89,7 +83,7 @@
 	done     chan struct{}         // closed when the loop has ended
 }
 
-func newLoop(bal *balancer.Balancer, c timing.Clock, pool *backends, z discovery.Zones, log *slog.Logger) *loop {
+func newLoop(bal *balancer.Balancer, c timing.Clock, pool *upstream.Pool, z discovery.Zones, log *slog.Logger) *loop {
 	return &loop{bal: bal, clock: c, pool: pool, zones: z, log: log, events: make(chan func(), 256),
 		lists: make(chan discovery.Update), asked: make(chan struct{}, 1), listed: make(chan struct{}), told: make(chan struct{}),
 		reqs: map[string]*request{}, done: make(chan struct{})}
@@ -97,6 +91,7 @@
 
 // run plays events until the context ends, and then until every attempt has.
 func (l *loop) run(ctx context.Context) {
+	defer l.pool.Close()
 	defer close(l.done)
 	attempts, stop := context.WithCancel(ctx)
 	defer l.attempts.Wait()
@@ -121,7 +116,7 @@
 			f()
 		case <-alarm.C:
 		case now := <-sweep.C:
-			l.pool.sweep(now)
+			l.pool.Sweep(now)
 		case <-ctx.Done():
 			return
 		}
@@ -147,7 +142,7 @@
 	for len(l.unsent) > 0 {
 		a := l.unsent[0]
 		l.unsent = l.unsent[1:]
-		l.outcome(a, result{status: balancer.NotAttempted})
+		l.outcome(a, upstream.Result{Status: balancer.NotAttempted})
 	}
 }
 
@@ -188,13 +183,13 @@
 	out := make(map[string]bool, len(st.Detached))
 	for _, id := range st.Detached {
 		if out[id] = true; !l.out[id] {
-			l.pool.takeOut(id, true)
+			l.pool.SetDetached(id, true)
 			l.bal.Detach(id)
 		}
 	}
 	for id := range l.out {
 		if !out[id] {
-			l.pool.takeOut(id, false)
+			l.pool.SetDetached(id, false)
 			l.bal.Attach(l.clock.Now(), id)
 		}
 	}
@@ -202,7 +197,7 @@
 }
 
 func (l *loop) apply(kind balancer.UpdateKind, list *discovery.List) {
-	l.pool.apply(kind != balancer.IncrementalUpdate, list.Endpoints)
+	l.pool.ApplyEndpoints(kind != balancer.IncrementalUpdate, list.Endpoints)
 	l.bal.UpdateEndpoints(l.clock.Now(), l, kind, l.zones.Servers(list.Endpoints))
 	select {
 	case <-l.listed:
@@ -227,7 +222,7 @@
 	}
 	l.reqs[r.ID] = r
 	expiry := r.Deadline + microtime.FromDuration(expireAfter)
-	if r.rest != nil && l.cutoff == 0 { // its time has not begun
+	if r.upstream.Stream != nil && l.cutoff == 0 { // its time has not begun
 		expiry = math.MaxInt64
 	}
 	r.time = timing.NewTimer(expiry, due{req: r})
@@ -254,25 +249,25 @@
 
 // uploaded takes the news that a streamed request has gone out whole: its time begins.
 func (l *loop) uploaded(a *attempt, at time.Time) {
-	r := a.req
+	r := a.request
 	if r.over || r.current != a {
 		return
 	}
-	a.sent, r.came = l.clock.At(at), l.clock.At(at)
+	a.sentAt, r.came = l.clock.At(at), l.clock.At(at)
 	r.Deadline = l.clock.At(at.Add(r.wait))
 	if l.cutoff > 0 {
 		r.Deadline = min(r.Deadline, l.cutoff)
 	}
 	l.timers.Move(r.time, r.Deadline+microtime.FromDuration(expireAfter))
-	l.bal.RequestUploaded(a.sent, r.ID, r.Deadline)
+	l.bal.RequestUploaded(a.sentAt, r.ID, r.Deadline)
 }
 
 // begin gives a request its final answer while that still comes. Its time was that of its first bytes, and for the
 // module its attempt has ended: the server's work on it is done.
 func (l *loop) begin(a *attempt, d *message.ResponseStream) {
-	r := a.req
+	r := a.request
 	if r.over {
-		a.stop()
+		a.cancel()
 		return
 	}
 	if l.lastCall > 0 && r.came > l.lastCall {
@@ -280,24 +275,24 @@
 		l.withdraw(r, answer{status: http.StatusBadGateway})
 		return
 	}
-	a.began = true
+	a.forwarding = true
 	l.end(r, answer{status: http.StatusOK, content: d.ContentType, stream: d})
 	now := l.clock.Now()
-	l.bal.HandleOutcome(now, l, balancer.Outcome{ID: r.ID, Attempt: a.number, Status: balancer.OK, Latency: now - a.sent, RequestDone: true})
+	l.bal.HandleOutcome(now, l, balancer.Outcome{ID: r.ID, Attempt: a.number, Status: balancer.OK, Latency: now - a.sentAt, RequestDone: true})
 }
 
 // withdraw ends a request that nobody waits for any more, and its attempt.
 func (l *loop) withdraw(r *request, ans answer) {
 	if r.over {
-		if r.current != nil && r.current.began { // an answer that nobody has taken
-			r.current.stop()
+		if r.current != nil && r.current.forwarding { // an answer that nobody has taken
+			r.current.cancel()
 		}
 		return
 	}
 	l.end(r, ans)
 	l.bal.CancelRequest(l.clock.Now(), l, r.ID)
 	if r.current != nil {
-		r.current.stop()
+		r.current.cancel()
 	}
 }
 
@@ -319,29 +314,29 @@
 }
 
 // outcome tells the module how an attempt ended; a served request has its answer first.
-func (l *loop) outcome(a *attempt, res result) {
-	r := a.req
+func (l *loop) outcome(a *attempt, res upstream.Result) {
+	r := a.request
 	if r.current == a {
 		r.current = nil
 	}
-	if a.began { // the module knows
+	if a.forwarding { // the module knows
 		l.forget(r)
 		return
 	}
-	if res.status == balancer.OK {
-		l.end(r, answer{status: http.StatusOK, body: res.body, content: res.content})
+	if res.Status == balancer.OK {
+		l.end(r, answer{status: http.StatusOK, body: res.Body, content: res.ContentType})
 	}
-	if res.left {
+	if res.ClientGone {
 		l.end(r, answer{})
 	}
-	if res.fault != 0 {
+	if res.ClientFault != 0 {
 		// The client's fault is no evidence against the backend, and another would say the same.
-		l.end(r, answer{status: res.fault})
-		res.status = balancer.NotAttempted
+		l.end(r, answer{status: res.ClientFault})
+		res.Status = balancer.NotAttempted
 	}
 	now := l.clock.Now()
-	l.bal.HandleOutcome(now, l, balancer.Outcome{ID: r.ID, Attempt: a.number, Status: res.status, Latency: now - a.sent,
-		RequestDone: r.over, BodyConsumed: res.spent})
+	l.bal.HandleOutcome(now, l, balancer.Outcome{ID: r.ID, Attempt: a.number, Status: res.Status, Latency: now - a.sentAt,
+		RequestDone: r.over, BodyConsumed: res.BodyConsumed})
 	l.forget(r)
 }
 
@@ -357,30 +352,25 @@
 	if timeout != 0 {
 		until = min(until, now+timeout)
 	}
-	a := &attempt{req: r, number: r.sends, sent: now, deadline: l.clock.Time(until), pool: l.pool}
+	a := &attempt{loop: l, request: r, number: r.sends, sentAt: now, responseTimeout: (until - now).Duration()}
+	a.Attempt = &upstream.Attempt{Request: r.upstream, Deadline: l.clock.Time(until), Observer: a}
 	if lapse != 0 {
-		a.lapse = l.clock.Time(lapse)
+		a.DedupDeadline = l.clock.Time(lapse)
 	}
 	r.sends++
 	var ok bool
-	a.backend, a.addr, a.epoch, ok = l.pool.find(server)
-	if !ok || r.over || r.current != nil { // never two attempts of a request at once
+	if a.Target, ok = l.pool.Find(server); !ok || r.over || r.current != nil { // never two attempts of a request at once
 		l.unsent = append(l.unsent, a)
 		return
 	}
-	wait := (until - now).Duration()
-	a.uploaded = func(at time.Time) time.Time {
-		l.post(func() { l.uploaded(a, at) })
-		return at.Add(wait)
-	}
-	a.begin = func(d *message.ResponseStream) { l.post(func() { l.begin(a, d) }) }
-	a.ctx, a.stop = context.WithCancel(l.ctx)
+	ctx, cancel := context.WithCancel(l.ctx)
+	a.cancel = cancel
 	r.current = a
 	l.attempts.Add(1)
 	go func() {
 		defer l.attempts.Done()
-		res := a.run()
-		a.stop()
+		res := a.Run(ctx)
+		cancel()
 		l.post(func() { l.outcome(a, res) })
 	}()
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -15,6 +15,7 @@
 	"baylock/internal/settings"
 	"baylock/internal/socket"
 	"baylock/internal/timing"
+	"baylock/internal/upstream"
 )
 
 const (
@@ -92,7 +93,7 @@
 		cfg.Log.Error("what operators say is not kept", "error", err)
 		sh = &shared{log: cfg.Log}
 	}
-	l := newLoop(bal, timing.NewClock(), newBackends(cfg.Site.DialTimeout, cfg.Site.IdleClose, forBackends),
+	l := newLoop(bal, timing.NewClock(), upstream.NewPool(cfg.Site.DialTimeout, cfg.Site.IdleClose, forBackends),
 		zones, cfg.Log)
 	l.inForce.Store(first)
 	p := &Proxy{cfg: cfg, loop: l, shared: sh, renews: make(chan string), opened: make(chan struct{}),
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -23,6 +23,7 @@
 	"baylock/internal/microtime"
 	"baylock/internal/settings"
 	"baylock/internal/socket"
+	"baylock/internal/upstream"
 )
 
 const siteText = `{"contract":{"cold_us":1000000,"start_capacity":0.3},"failure_domains":["a"],"limits":{` +
@@ -186,7 +187,7 @@
 		if resp, body := c.answer(t); resp.StatusCode != 200 || body != "ok" {
 			t.Errorf("request %d: got %s %q", i, resp.Status, body)
 		}
-		rested(p.loop.pool)
+		time.Sleep(upstream.ReuseDelay) // idle connections may be used again
 	}
 	if b.requests.Load() != 3 || b.conns.Load() != 1 {
 		t.Errorf("%d requests on %d connections", b.requests.Load(), b.conns.Load())
@@ -609,7 +610,7 @@
 	wait(t, "call for the whole list", d.calls)
 	wait(t, "call after that was given up", d.calls)
 	d.say <- listText(6, true, listed("a", a.addr, discovery.Serving), listed("b", b.addr, discovery.Draining))
-	waitUntil(t, func() bool { _, _, _, ok := p.loop.pool.find("b"); return !ok })
+	waitUntil(t, func() bool { _, ok := p.loop.pool.Find("b"); return !ok })
 	if took := time.Since(silent); took > 6*time.Second {
 		t.Errorf("told after %v", took)
 	}
@@ -660,7 +661,7 @@
 		t.Errorf("%d of 200 served", ok)
 	}
 	d.say <- list(2, false, discovery.Draining)
-	waitUntil(t, func() bool { _, _, _, ok := p.loop.pool.find("s-000003ff"); return !ok })
+	waitUntil(t, func() bool { _, ok := p.loop.pool.Find("s-000003ff"); return !ok })
 	c := connect(t, p)
 	c.send(t, look("1", 4000))
 	if resp, _ := c.answer(t); resp.StatusCode != http.StatusServiceUnavailable {
@@ -917,9 +918,7 @@
 			e.Status = discovery.Deleted
 			p.loop.list(discovery.Update{List: &discovery.List{Index: int64(i), Endpoints: []discovery.Endpoint{e}}})
 		}
-		p.loop.pool.mu.Lock()
-		defer p.loop.pool.mu.Unlock()
-		got <- sizes{len(p.loop.reqs), p.loop.timers.Len(), len(p.loop.pool.byName), len(p.loop.zones)}
+		got <- sizes{len(p.loop.reqs), p.loop.timers.Len(), p.loop.pool.Stats().Endpoints, len(p.loop.zones)}
 	})
 	if s := wait(t, "word of the loop", got); s != (sizes{backends: 1, zones: 1}) {
 		t.Errorf("left behind: %+v", s)
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -150,7 +150,7 @@
 	}
 	next.follow(p.loop.inForce.Load())
 	p.loop.inForce.Store(next)
-	p.loop.pool.configure(next.site.DialTimeout, next.site.IdleClose)
+	p.loop.pool.SetTimeouts(next.site.DialTimeout, next.site.IdleClose)
 	p.limits.Lock()
 	defer p.limits.Unlock()
 	p.applyLimits()
@@ -174,7 +174,7 @@
 	}
 	forClients, forBackends := divide(sockets)
 	p.front.clients.limit(max(forClients, leastEach))
-	p.loop.pool.limit(forBackends)
+	p.loop.pool.SetMaxOpen(forBackends)
 	p.front.budget.SetLimit(memory)
 	if memory > 0 {
 		debug.SetMemoryLimit(int64(memory * memoryPart * (1 << 20)))
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -13,6 +13,7 @@
 	"baylock/balancer"
 	"baylock/internal/discovery"
 	"baylock/internal/settings"
+	"baylock/internal/upstream"
 )
 
 // changed is the configuration of a running proxy with pairs of texts of the test settings replaced.
@@ -92,11 +93,9 @@
 	if ms := wait(t, "request", left); ms < 20_000 || ms > 40_000 {
 		t.Errorf("a backend was given %d ms after", ms)
 	}
-	pool := p.loop.pool
-	pool.mu.Lock()
-	defer pool.mu.Unlock()
-	if d := time.Duration(pool.dialTimeout.Load()); d != 70*time.Millisecond || pool.idleFor != 3*time.Second || pool.trusted > pool.idleFor {
-		t.Errorf("dials for %v, idle for %v, trusted for %v", d, pool.idleFor, pool.trusted)
+	pool := p.loop.pool.Stats()
+	if pool.DialTimeout != 70*time.Millisecond || pool.IdleTimeout != 3*time.Second || pool.ReuseLimit > pool.IdleTimeout {
+		t.Errorf("dials for %v, idle for %v, used again for %v", pool.DialTimeout, pool.IdleTimeout, pool.ReuseLimit)
 	}
 }
 
@@ -153,7 +152,7 @@
 		t.Errorf("%d connections to the backend have ended", n)
 	}
 	n := b.conns.Load()
-	rested(p.loop.pool)
+	time.Sleep(upstream.ReuseDelay) // idle connections may be used again
 	p.mustReload(t, configs[0])
 	if got := p.status(t, shortPost("last")); got != 200 || b.conns.Load() != n {
 		t.Errorf("got %d on one of %d connections, of %d before the reload", got, b.conns.Load(), n)
@@ -345,11 +344,9 @@
 	cfg.Sockets, cfg.MemoryMB = 500, 100
 	p.mustReload(t, cfg)
 	forClients, forBackends := divide(500)
-	pool := p.loop.pool
-	pool.mu.Lock()
-	defer pool.mu.Unlock()
-	if p.most() != forClients || pool.most != forBackends || p.front.budget.Limit() != 100<<20/8 {
-		t.Errorf("%d for clients, %d for backends, %d bytes for bodies", p.most(), pool.most, p.front.budget.Limit())
+	pool := p.loop.pool.Stats()
+	if p.most() != forClients || pool.MaxOpen != forBackends || p.front.budget.Limit() != 100<<20/8 {
+		t.Errorf("%d for clients, %d for backends, %d bytes for bodies", p.most(), pool.MaxOpen, p.front.budget.Limit())
 	}
 	t.Cleanup(func() { // the runtime's limit holds for all tests
 		cfg.MemoryMB = 0
--- /dev/null
+++ b/internal/upstream/endpoint.go
@@ -0,0 +1,122 @@
+package upstream
+
+import "baylock/internal/discovery"
+
+// endpoint is one endpoint of the list. The pool's lock guards its fields, but for name.
+type endpoint struct {
+	name       string
+	address    string
+	zone       string
+	group      int
+	startedMs  int64 // start of the process, in Unix milliseconds
+	serving    bool  // the list says so
+	ready      bool  // serving, and not detached by an operator
+	generation int   // counts changes of the endpoint: drained, removed, restarted, moved, regrouped, detached or attached
+	idle       []*conn
+}
+
+// Target is one generation of an endpoint, to which an attempt is sent. It stays valid until the endpoint changes.
+type Target struct {
+	pool       *Pool
+	endpoint   *endpoint
+	address    string
+	generation int
+}
+
+// Find returns the listed endpoint of a name, if it takes new requests.
+func (p *Pool) Find(name string) (Target, bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	e := p.endpoints[name]
+	if e == nil || !e.ready {
+		return Target{}, false
+	}
+	return Target{pool: p, endpoint: e, address: e.address, generation: e.generation}, true
+}
+
+// Contains reports whether an endpoint is listed, also one that takes no requests.
+func (p *Pool) Contains(name string) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.endpoints[name] != nil
+}
+
+// isCurrent reports whether the endpoint has not changed since the target was found.
+func (t Target) isCurrent() bool {
+	t.pool.mu.Lock()
+	defer t.pool.mu.Unlock()
+	return t.endpoint.generation == t.generation
+}
+
+// zone returns the endpoint's present zone.
+func (t Target) zone() string {
+	t.pool.mu.Lock()
+	defer t.pool.mu.Unlock()
+	return t.endpoint.zone
+}
+
+// ApplyEndpoints takes a complete list, or its changes. Idle connections to an endpoint that has changed are closed:
+// nothing new may go to it, or another process may be at its address.
+func (p *Pool) ApplyEndpoints(complete bool, endpoints []discovery.Endpoint) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	listed := make(map[string]bool, len(endpoints))
+	for _, update := range endpoints {
+		listed[update.Name] = true
+		p.applyEndpointLocked(update)
+	}
+	if !complete {
+		return
+	}
+	for name, e := range p.endpoints {
+		if !listed[name] {
+			e.ready = false
+			p.advanceGenerationLocked(e)
+			delete(p.endpoints, name)
+		}
+	}
+}
+
+func (p *Pool) applyEndpointLocked(update discovery.Endpoint) {
+	e := p.endpoints[update.Name]
+	if e == nil {
+		e = &endpoint{name: update.Name}
+		p.endpoints[update.Name] = e
+	}
+	serving := update.Status == discovery.Serving
+	if e.address != update.Address || e.startedMs != update.SinceMs || e.serving != serving ||
+		e.zone != update.Zone || e.group != update.Group {
+		e.address, e.startedMs, e.serving = update.Address, update.SinceMs, serving
+		e.zone, e.group = update.Zone, update.Group
+		e.ready = serving && !p.detached[update.Name]
+		p.advanceGenerationLocked(e)
+	}
+	if update.Status == discovery.Deleted {
+		delete(p.endpoints, update.Name)
+	}
+}
+
+// SetDetached detaches an endpoint, so that it gets no new requests, or attaches it again. Both close its idle
+// connections, since it may have been restarted meanwhile. The endpoint need not be listed yet.
+func (p *Pool) SetDetached(name string, detached bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if detached {
+		p.detached[name] = true
+	} else {
+		delete(p.detached, name)
+	}
+	if e := p.endpoints[name]; e != nil {
+		e.ready = e.serving && !detached
+		p.advanceGenerationLocked(e)
+	}
+}
+
+// advanceGenerationLocked invalidates all targets of an endpoint and closes its idle connections.
+func (p *Pool) advanceGenerationLocked(e *endpoint) {
+	e.generation++
+	for _, c := range e.idle {
+		p.closeLocked(c)
+	}
+	e.idle = nil
+}
--- /dev/null
+++ b/internal/upstream/exchange.go
@@ -0,0 +1,111 @@
+package upstream
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/url"
+	"strconv"
+	"strings"
+	"time"
+
+	"baylock/balancer"
+)
+
+// exchange writes the request and reads the response. keep reports whether the connection can be used again.
+func (a *Attempt) exchange(ctx context.Context, c *conn) (result Result, keep bool) {
+	unhook := context.AfterFunc(ctx, c.abort)
+	defer func() {
+		if !unhook() {
+			keep = false
+		}
+	}()
+	_ = c.SetReadDeadline(a.Deadline)
+	_ = c.SetWriteDeadline(a.sendDeadline(a.Deadline))
+	if a.Request.Stream != nil {
+		return a.exchangeStreamed(ctx, c)
+	}
+	return a.exchangeBuffered(ctx, c)
+}
+
+func (a *Attempt) exchangeBuffered(ctx context.Context, c *conn) (result Result, keep bool) {
+	request, err := a.encode()
+	if err != nil {
+		return Result{Status: balancer.NotAttempted}, true
+	}
+	if result, ok := a.start(ctx, c); !ok {
+		return result, !result.connectionClosed
+	}
+	written := time.Now()
+	if _, err := c.Write(request); err != nil {
+		// The last byte was not written, so the endpoint cannot have started the request.
+		return Result{Status: balancer.ConnectFailed}, false
+	}
+	result, keep, err = a.readResponse(ctx, c)
+	if err == nil {
+		return result, keep
+	}
+	status := a.readFailure(ctx)
+	if status == balancer.Reset && c.idleTime > 0 && errors.Is(err, errNoResponse) &&
+		time.Since(written) < a.Target.pool.staleResetWindow {
+		a.Target.pool.reportStale(c)
+	}
+	return Result{Status: status}, false
+}
+
+func (a *Attempt) exchangeStreamed(ctx context.Context, c *conn) (result Result, keep bool) {
+	if result, ok := a.upload(ctx, c); !ok {
+		return result, !c.written && !result.connectionClosed
+	}
+	result, keep, err := a.readResponse(ctx, c)
+	if err != nil {
+		return Result{Status: a.readFailure(ctx)}, false
+	}
+	return result, keep
+}
+
+// readFailure returns the status of an attempt whose request was written and whose response could not be read.
+func (a *Attempt) readFailure(ctx context.Context) balancer.Status {
+	switch {
+	case ctx.Err() != nil && !a.pastDeadline():
+		return balancer.Cancelled
+	case a.pastDeadline():
+		return balancer.TimedOut
+	default:
+		return balancer.Reset
+	}
+}
+
+// encode returns the whole request, so that the result of one write tells whether its last byte was written.
+func (a *Attempt) encode() ([]byte, error) {
+	var buf bytes.Buffer
+	if err := a.httpRequest(bytes.NewReader(a.Request.Body)).Write(&buf); err != nil {
+		return nil, fmt.Errorf("encode request: %w", err)
+	}
+	return buf.Bytes(), nil
+}
+
+// httpRequest returns the request as the endpoint gets it, with the time that is left.
+func (a *Attempt) httpRequest(body io.Reader) *http.Request {
+	r := a.Request
+	timeoutMs := max(1, time.Until(a.Deadline).Milliseconds())
+	r.Header.Set("Request-Timeout-Ms", strconv.FormatInt(timeoutMs, 10))
+	path, query, _ := strings.Cut(r.URI, "?")
+	outgoing := &http.Request{
+		Method:        r.Method,
+		Host:          r.Host,
+		Header:        r.Header,
+		ContentLength: int64(len(r.Body)),
+		URL:           &url.URL{Opaque: path, RawQuery: query, ForceQuery: strings.HasSuffix(r.URI, "?")},
+	}
+	if r.Stream != nil {
+		outgoing.ContentLength = r.Stream.Length()
+	}
+	if outgoing.ContentLength != 0 {
+		outgoing.Body = io.NopCloser(body)
+	}
+	return outgoing
+}
--- a/internal/proxy/hedge_test.go
+++ b/internal/upstream/hedge_test.go
@@ -1,4 +1,4 @@
-package proxy
+package upstream
 
 import (
 	"context"
@@ -9,6 +9,7 @@
 	"time"
 
 	"baylock/balancer"
+	"baylock/internal/backendtest"
 )
 
 // lateDialer holds its first dial back until released, and counts all.
@@ -29,46 +30,46 @@
 	return d.dial(ctx, network, addr)
 }
 
-func withLateDialer(p *backends) *lateDialer {
-	d := &lateDialer{dial: p.dialer, release: make(chan struct{})}
-	p.dialer = d.dialContext
+func withLateDialer(p *Pool) *lateDialer {
+	d := &lateDialer{dial: p.DialContext, release: make(chan struct{})}
+	p.DialContext = d.dialContext
 	return d
 }
 
 // On days on which a third of connections come up up to 1.5 s late, calls waited for them on idle backends.
 func TestALateDialIsHedgedAndItsConnectionKept(t *testing.T) {
-	b := startBackend(t, says(served, true))
-	p := poolWith(4, b.addr)
+	b := backendtest.Start(t, backendtest.Respond(backendtest.OK, true))
+	p := newTestPool(4, b.Address)
 	d := withLateDialer(p)
-	if res := newAttempt(p, "a", patience).run(); res.status != balancer.OK {
-		t.Fatalf("got %v", res.status)
+	if res := newTestAttempt(t, p, "a", patience).run(); res.Status != balancer.OK {
+		t.Fatalf("got %v", res.Status)
 	}
-	if n := b.requests.Load(); n != 1 {
+	if n := b.Requests.Load(); n != 1 {
 		t.Errorf("%d requests came, want 1", n)
 	}
 	close(d.release)
-	waitUntil(t, func() bool {
+	backendtest.WaitUntil(t, func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return len(p.byName["a"].idle) == int(d.dials.Load()) && p.open == int(d.dials.Load())
+		return len(p.endpoints["a"].idle) == int(d.dials.Load()) && p.open == int(d.dials.Load())
 	})
 }
 
 func TestAConnectionThatFallsIdleIsTakenInPlaceOfALateDial(t *testing.T) {
-	b := startBackend(t, says(served, true))
-	p := poolWith(4, b.addr)
-	c, err := p.dial(t.Context(), p.byName["a"], b.addr, p.byName["a"].epoch)
+	b := backendtest.Start(t, backendtest.Respond(backendtest.OK, true))
+	p := newTestPool(4, b.Address)
+	c, err := findTarget(t, p, "a").dial(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := withLateDialer(p)
-	p.hedges.tokens = 0 // no further dial is allowed
-	results := make(chan result, 1)
-	go func() { results <- newAttempt(p, "a", patience).run() }()
-	waitUntil(t, func() bool { return d.dials.Load() == 1 })
-	p.keep(c)
-	if res := wait(t, "answer", results); res.status != balancer.OK {
-		t.Fatalf("got %v", res.status)
+	p.hedging.tokens = 0 // no further dial is allowed
+	results := make(chan Result, 1)
+	go func() { results <- newTestAttempt(t, p, "a", patience).run() }()
+	backendtest.WaitUntil(t, func() bool { return d.dials.Load() == 1 })
+	p.put(c)
+	if res := backendtest.Receive(t, "answer", results); res.Status != balancer.OK {
+		t.Fatalf("got %v", res.Status)
 	}
 	if n := d.dials.Load(); n != 1 {
 		t.Errorf("%d dials, want 1", n)
@@ -77,16 +78,16 @@
 }
 
 func TestAStoppedAttemptLeavesNoDialBehind(t *testing.T) {
-	b := startBackend(t, says(served, true))
-	p := poolWith(4, b.addr)
+	b := backendtest.Start(t, backendtest.Respond(backendtest.OK, true))
+	p := newTestPool(4, b.Address)
 	d := withLateDialer(p)
-	a := newAttempt(p, "a", patience)
-	results := make(chan result, 1)
+	a := newTestAttempt(t, p, "a", patience)
+	results := make(chan Result, 1)
 	go func() { results <- a.run() }()
-	waitUntil(t, func() bool { return d.dials.Load() == 1 })
-	a.stop()
-	if res := wait(t, "end", results); res.status != balancer.NotAttempted {
-		t.Errorf("got %v", res.status)
+	backendtest.WaitUntil(t, func() bool { return d.dials.Load() == 1 })
+	a.cancel()
+	if res := backendtest.Receive(t, "end", results); res.Status != balancer.NotAttempted {
+		t.Errorf("got %v", res.Status)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,17 +98,17 @@
 
 // A backend that refuses one dial is not waited for, though another dial is still out.
 func TestARefusalEndsTheRace(t *testing.T) {
-	p := poolWith(4, "127.0.0.1:1")
+	p := newTestPool(4, "127.0.0.1:1")
 	var dials atomic.Int32
-	p.dialer = func(ctx context.Context, _, _ string) (net.Conn, error) {
+	p.DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
 		if dials.Add(1) == 1 {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
 		return nil, errors.New("connection refused")
 	}
-	if res := newAttempt(p, "a", patience).run(); res.status != balancer.ConnectFailed {
-		t.Errorf("got %v", res.status)
+	if res := newTestAttempt(t, p, "a", patience).run(); res.Status != balancer.ConnectFailed {
+		t.Errorf("got %v", res.Status)
 	}
 }
 
@@ -124,39 +125,39 @@
 			}
 		}
 	}
-	if most := hedgePart*firsts + hedgeBurst; float64(further) > most || float64(further) < hedgePart*firsts-1 {
+	if most := hedgeTokensPerDial*firsts + maxHedgeTokens; float64(further) > most || float64(further) < hedgeTokensPerDial*firsts-1 {
 		t.Errorf("%d further dials for %d first ones, want %v at most", further, firsts, most)
 	}
 }
 
 func TestTheDelayBeforeAFurtherDialFollowsTheUsualConnectTime(t *testing.T) {
 	h := newHedgePolicy()
-	if got := h.begin("z"); got != hedgeFirstDelay {
+	if got := h.begin("z"); got != initialHedgeDelay {
 		t.Errorf("with no connect time known: %v", got)
 	}
-	for i := range 3 * connectSamples { // a third of connections come up late
+	for i := range 3 * connectTimeSamples { // a third of connections come up late
 		took := 20 * time.Millisecond
 		if i%3 == 0 {
 			took = time.Second
 		}
 		h.observe("z", took)
 	}
-	if got := h.begin("z"); got != hedgeFactor*20*time.Millisecond {
+	if got := h.begin("z"); got != hedgeDelayFactor*20*time.Millisecond {
 		t.Errorf("with a third late: %v", got)
 	}
-	if got := h.begin("another zone"); got != hedgeFirstDelay {
+	if got := h.begin("another zone"); got != initialHedgeDelay {
 		t.Errorf("another zone's connect times count: %v", got)
 	}
-	for range connectSamples { // all are slow: a further dial would be as slow
+	for range connectTimeSamples { // all are slow: a further dial would be as slow
 		h.observe("z", time.Second)
 	}
-	if got := h.begin("z"); got != hedgeMostDelay {
+	if got := h.begin("z"); got != maxHedgeDelay {
 		t.Errorf("with all slow: %v", got)
 	}
-	for range connectSamples {
+	for range connectTimeSamples {
 		h.observe("z", time.Microsecond)
 	}
-	if got := h.begin("z"); got != hedgeLeastDelay {
+	if got := h.begin("z"); got != minHedgeDelay {
 		t.Errorf("with all quick: %v", got)
 	}
 }
--- /dev/null
+++ b/internal/upstream/helpers_test.go
@@ -0,0 +1,88 @@
+package upstream
+
+import (
+	"context"
+	"net/http"
+	"testing"
+	"time"
+
+	"baylock/internal/backendtest"
+	"baylock/internal/discovery"
+	"baylock/internal/message"
+)
+
+const patience = backendtest.Patience // for what must happen
+
+func endpointUpdate(name, address string, status discovery.Status) discovery.Endpoint {
+	return discovery.Endpoint{Name: name, Address: address, Zone: "a", Status: status}
+}
+
+// newTestPool returns a pool of endpoints a, b, ... at the addresses.
+func newTestPool(maxOpen int, addresses ...string) *Pool {
+	p := NewPool(5*time.Second, 40*time.Second, maxOpen)
+	var endpoints []discovery.Endpoint
+	for i, address := range addresses {
+		endpoints = append(endpoints, endpointUpdate(string(rune('a'+i)), address, discovery.Serving))
+	}
+	p.ApplyEndpoints(true, endpoints)
+	return p
+}
+
+// findTarget returns an endpoint that has to be listed.
+func findTarget(t *testing.T, p *Pool, name string) Target {
+	t.Helper()
+	target, ok := p.Find(name)
+	if !ok {
+		t.Fatalf("no endpoint %s", name)
+	}
+	return target
+}
+
+// testAttempt is an attempt with its context.
+type testAttempt struct {
+	*Attempt
+	ctx    context.Context
+	cancel context.CancelFunc
+}
+
+func newTestAttempt(t *testing.T, p *Pool, name string, timeout time.Duration) *testAttempt {
+	t.Helper()
+	a := &testAttempt{Attempt: &Attempt{Target: findTarget(t, p, name), Deadline: time.Now().Add(timeout), Request: &Request{
+		Method: http.MethodGet, URI: "/look/k%2f1?x=%20y", Host: "backend.local",
+		Header: http.Header{"Request-Id": {"1"}, "User-Agent": {""}}, ClientGone: func() bool { return false }}}}
+	a.ctx, a.cancel = context.WithCancel(context.Background())
+	return a
+}
+
+func (a *testAttempt) run() Result { return a.Run(a.ctx) }
+
+// uploadObserver returns the deadline for the response to a streamed request. It takes no response that is forwarded.
+type uploadObserver func(at time.Time) (deadline time.Time)
+
+func (o uploadObserver) UploadFinished(at time.Time) (deadline time.Time) { return o(at) }
+
+func (o uploadObserver) ResponseStarted(*message.ResponseStream) {
+	panic("a response of this length was not expected")
+}
+
+// ageIdle lets the idle connections have been idle for a time.
+func ageIdle(p *Pool, idleTime time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, e := range p.endpoints {
+		for _, c := range e.idle {
+			c.idleSince = time.Now().Add(-idleTime)
+		}
+	}
+}
+
+// restIdle lets the idle connections have rested for long enough to be used again.
+func restIdle(p *Pool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, e := range p.endpoints {
+		for _, c := range e.idle {
+			c.idleSince = c.idleSince.Add(-ReuseDelay)
+		}
+	}
+}
--- /dev/null
+++ b/internal/upstream/idle.go
@@ -0,0 +1,102 @@
+package upstream
+
+import (
+	"slices"
+	"time"
+
+	"baylock/internal/socket"
+)
+
+const (
+	// ReuseDelay is how long a connection rests before it is used again. Stray bytes that follow a response arrive
+	// within it; on a connection in use they would be taken for the next response.
+	ReuseDelay = 20 * time.Millisecond
+
+	// staleResetWindow is how soon a request on an idle connection is reset if the endpoint had dropped it silently.
+	staleResetWindow = 10 * time.Millisecond
+
+	// After a stale connection only those that have been idle for half as long as it are used, though not less than
+	// minReuseLimit. The limit grows again by reuseLimitGrowth at each sweep.
+	minReuseLimit    = 2 * ReuseDelay
+	reuseLimitGrowth = 1.05
+)
+
+// reuse takes the most recently used idle connection that has rested and is quiet. It returns nil if there is none.
+func (t Target) reuse() *conn {
+	p, e := t.pool, t.endpoint
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if e.generation != t.generation {
+		return nil
+	}
+	now := time.Now()
+	for i := len(e.idle) - 1; i >= 0; i-- {
+		c := e.idle[i]
+		idleTime := now.Sub(c.idleSince)
+		if idleTime < ReuseDelay {
+			continue
+		}
+		e.idle = slices.Delete(e.idle, i, i+1)
+		if idleTime < p.reuseLimit && socket.IsQuiet(c.Conn) {
+			c.idleTime = idleTime
+			return c
+		}
+		p.closeLocked(c)
+	}
+	return nil
+}
+
+// put makes a connection idle, or closes it if its endpoint has changed since it was opened.
+func (p *Pool) put(c *conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	e := c.endpoint
+	if e.generation != c.generation || !e.ready {
+		p.closeLocked(c)
+		return
+	}
+	if c.written || c.idleSince.IsZero() { // to its peer, one that nothing was written to has been idle all along
+		c.idleSince = time.Now()
+	}
+	c.written = false
+	c.limitReads(0, time.Time{})
+	e.idle = append(e.idle, c)
+}
+
+// discard closes a connection that was in use.
+func (p *Pool) discard(c *conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.closeLocked(c)
+}
+
+// reportStale lowers the reuse limit after a connection that its endpoint had dropped silently while it was idle.
+func (p *Pool) reportStale(c *conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.reuseLimit = max(minReuseLimit, min(p.reuseLimit, c.idleTime/2))
+}
+
+// Sweep closes the connections that have been idle for too long or that their endpoints have closed. It is called
+// once a second.
+func (p *Pool) Sweep(now time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.reuseLimit = min(p.idleTimeout, time.Duration(reuseLimitGrowth*float64(p.reuseLimit)))
+	for _, e := range p.endpoints {
+		p.sweepLocked(e, now)
+	}
+}
+
+func (p *Pool) sweepLocked(e *endpoint, now time.Time) {
+	kept := e.idle[:0]
+	for _, c := range e.idle {
+		if now.Sub(c.idleSince) < p.reuseLimit && socket.IsQuiet(c.Conn) {
+			kept = append(kept, c)
+		} else {
+			p.closeLocked(c)
+		}
+	}
+	clear(e.idle[len(kept):])
+	e.idle = kept
+}
--- /dev/null
+++ b/internal/upstream/upload.go
@@ -0,0 +1,118 @@
+package upstream
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"os"
+	"sync/atomic"
+	"time"
+
+	"baylock/balancer"
+	"baylock/internal/message"
+)
+
+// earlyResponseWait is how long a failed upload waits for the response that may explain the failure.
+const earlyResponseWait = 100 * time.Millisecond
+
+// errNotStarted ends the encoding of a request of which nothing may be sent.
+var errNotStarted = errors.New("the attempt may no longer start")
+
+// upload writes a streamed request while its client sends it. ok reports whether all of it was written, so that its
+// response can be read. Before that an endpoint can only reject it.
+func (a *Attempt) upload(ctx context.Context, c *conn) (result Result, ok bool) {
+	a.Request.Stream.Resume()
+	w := &uploadWriter{ctx: ctx, attempt: a, conn: c, heard: make(chan bool, 1),
+		notStarted: Result{Status: balancer.NotAttempted}}
+	_ = c.SetReadDeadline(time.Time{})
+	err := a.httpRequest(io.MultiReader(bytes.NewReader(a.Request.Body), a.Request.Stream)).Write(w)
+	now := time.Now()
+	if !c.written {
+		return w.notStarted, false
+	}
+	if err != nil {
+		return a.failUpload(ctx, w, now), false
+	}
+	return a.finishUpload(ctx, w, now)
+}
+
+// finishUpload waits for the response to a request that was written at a time.
+func (a *Attempt) finishUpload(ctx context.Context, w *uploadWriter, now time.Time) (result Result, ok bool) {
+	a.Deadline = a.Observer.UploadFinished(now)
+	_ = w.conn.SetDeadline(a.Deadline)
+	if ctx.Err() != nil { // the deadline may have replaced that of abort
+		w.conn.abort()
+	}
+	<-w.heard
+	if w.stopped.Load() { // the request is complete, but what was received was sent before and does not answer it
+		return Result{Status: balancer.Reset}, false
+	}
+	return Result{}, true
+}
+
+// failUpload returns the result of an upload that ended early, at a time.
+func (a *Attempt) failUpload(ctx context.Context, w *uploadWriter, now time.Time) Result {
+	_ = w.conn.SetReadDeadline(now.Add(earlyResponseWait))
+	if ctx.Err() != nil { // the deadline may have replaced that of abort
+		w.conn.abort()
+	}
+	heard := <-w.heard
+	if !w.short && a.Request.Stream.ReceivedAll() { // the last byte may have been written
+		return Result{Status: balancer.Reset}
+	}
+	if !heard || ctx.Err() != nil {
+		return Result{Status: balancer.ConnectFailed}
+	}
+	result, _, err := a.readResponse(ctx, w.conn)
+	if err != nil || result.Status == balancer.OK { // no endpoint can have served an incomplete request
+		return Result{Status: balancer.ConnectFailed}
+	}
+	return result
+}
+
+// uploadWriter writes a streamed request to an endpoint while that takes it in time and sends nothing.
+type uploadWriter struct {
+	ctx        context.Context
+	attempt    *Attempt
+	conn       *conn
+	notStarted Result      // of the attempt if nothing was written
+	heard      chan bool   // receives once after something was written: whether the endpoint has sent something
+	stopped    atomic.Bool // the endpoint has sent something, or closed, before all was written
+	short      bool        // a write did not take all
+}
+
+// Write implements io.Writer. The first call starts the attempt.
+func (w *uploadWriter) Write(b []byte) (n int, err error) {
+	_ = w.conn.SetWriteDeadline(w.attempt.sendDeadline(time.Now().Add(message.StreamStall)))
+	if !w.conn.written {
+		var ok bool
+		if w.notStarted, ok = w.attempt.start(w.ctx, w.conn); !ok {
+			return 0, errNotStarted
+		}
+		go w.awaitResponse()
+	}
+	if w.attempt.earlyResponse.Load() {
+		w.stopped.Store(true)
+	}
+	if w.conn.cut.Load() || w.stopped.Load() {
+		err = os.ErrDeadlineExceeded
+	} else {
+		n, err = w.conn.Write(b)
+	}
+	w.short = w.short || n < len(b)
+	return n, err
+}
+
+// awaitResponse waits until the endpoint sends something or closes. If either comes early the upload stops. The upload
+// ends no earlier than it receives from heard.
+func (w *uploadWriter) awaitResponse() {
+	_, err := w.conn.reader.Peek(1)
+	w.attempt.earlyResponse.Store(err == nil)
+	if stream := w.attempt.Request.Stream; !stream.Ended() {
+		w.stopped.Store(true)
+		_ = w.conn.SetWriteDeadline(time.Unix(1, 0))
+		stream.Interrupt()
+	}
+	w.heard <- err == nil
+}
