--- a/internal/upstream/upload_test.go
+++ b/internal/upstream/upload_test.go
@@ -17,26 +17,40 @@
 	"baylock/internal/socket"
 )
 
-// A repeat whose last byte has not gone out when its window ends is broken off, so that it cannot run.
-func TestARepeatIsNotWrittenBeyondItsWindow(t *testing.T) {
-	for name, streamed := range map[string]bool{"held": false, "streamed": true} {
+// newRequestStream returns the stream of a body that its client has already sent.
+func newRequestStream(t *testing.T, body io.Reader, length int64) *message.RequestStream {
+	t.Helper()
+	return message.NewRequestStream(body, length, http.NewResponseController(httptest.NewRecorder()),
+		time.Now().Add(patience))
+}
+
+// strayResponses answer no request, but say that one was rejected.
+var strayResponses = map[string]string{
+	"503":             "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n",
+	"504":             "HTTP/1.1 504 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n",
+	"incomplete head": "HTTP/1.1 503 No\r\nNot-Started: 1\r\nX-Rest: ",
+}
+
+// A retry is cut off before its last byte, so that it cannot run.
+func TestAttemptStopsWritingRetryAtDedupDeadline(t *testing.T) {
+	for name, streamed := range map[string]bool{"buffered": false, "streamed": true} {
 		t.Run(name, func(t *testing.T) {
-			whole := make(chan bool, 1)
+			complete := make(chan bool, 1)
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer l.Close()
-			begun := make(chan *testAttempt, 1)
+			started := make(chan *testAttempt, 1)
 			go func() {
 				c, err := l.Accept()
 				if err != nil {
 					return
 				}
 				defer c.Close()
-				time.Sleep(time.Until((<-begun).DedupDeadline.Add(50 * time.Millisecond))) // nothing is read before
+				time.Sleep(time.Until((<-started).DedupDeadline.Add(50 * time.Millisecond))) // reads nothing before
 				got, _ := io.ReadAll(c)
-				whole <- len(got) > 8<<20 // with its head
+				complete <- len(got) > 8<<20 // head included
 			}()
 			p := newTestPool(4, l.Addr().String())
 			a := newTestAttempt(t, p, "a", patience)
@@ -48,40 +62,26 @@
 				a.Request.Body = body
 			}
 			a.DedupDeadline = time.Now().Add(500 * time.Millisecond)
-			begun <- a
-			if res := a.run(); res.Status != balancer.ConnectFailed {
-				t.Errorf("got %v", res.Status)
+			started <- a
+			if result := a.run(); result.Status != balancer.ConnectFailed {
+				t.Errorf("got status %v", result.Status)
 			}
-			if backendtest.Receive(t, "end", whole) {
-				t.Error("all of it was sent")
+			if backendtest.Receive(t, "end of the request", complete) {
+				t.Error("all of the request was written")
 			}
 		})
 	}
 }
 
-// newRequestStream is a body whose client writes it at once.
-func newRequestStream(t *testing.T, body io.Reader, length int64) *message.RequestStream {
-	t.Helper()
-	return message.NewRequestStream(body, length, http.NewResponseController(httptest.NewRecorder()),
-		time.Now().Add(patience))
-}
-
-// strays are words of a backend that answer nothing that it was asked, but say that something never ran.
-var strays = map[string]string{
-	"an answer":   "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n",
-	"another":     "HTTP/1.1 504 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n",
-	"half a line": "HTTP/1.1 503 No\r\nNot-Started: 1\r\nX-Rest: ",
-}
-
-// What a backend says on a connection after it was taken for the next request, and before that is written, is not the
-// answer to it: taken for one, it would say that a request never ran which does, and it would be sent again.
-func TestAStrayAnswerSaysNothingOfTheNextRequest(t *testing.T) {
-	for name, stray := range strays {
-		for how, streamed := range map[string]bool{"held": false, "streamed": true} {
-			t.Run(name+", "+how, func(t *testing.T) {
-				theirs, ours := make(chan io.Writer, 2), make(chan net.Conn, 2)
+// A stray response arrives after the connection was taken for the next request, and before that is written. Taken for
+// the response, it would say that the request was rejected, though it runs.
+func TestAttemptSkipsConnectionWithStrayResponse(t *testing.T) {
+	for name, stray := range strayResponses {
+		for kind, streamed := range map[string]bool{"buffered": false, "streamed": true} {
+			t.Run(name+", "+kind, func(t *testing.T) {
+				backendConns, ownConns := make(chan io.Writer, 2), make(chan net.Conn, 2)
 				b := backendtest.Start(t, func(w io.Writer, _ *http.Request, _ int) bool {
-					theirs <- w
+					backendConns <- w
 					_, _ = io.WriteString(w, backendtest.OK)
 					return true
 				})
@@ -89,111 +89,98 @@
 				dial := p.DialContext
 				p.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 					c, err := dial(ctx, network, addr)
-					ours <- c
+					ownConns <- c
 					return c, err
 				}
-				if res := newTestAttempt(t, p, "a", patience).run(); res.Status != balancer.OK {
-					t.Fatalf("got %v", res.Status)
+				if result := newTestAttempt(t, p, "a", patience).run(); result.Status != balancer.OK {
+					t.Fatalf("got status %v", result.Status)
 				}
 				restIdle(p)
-				a, looks := newTestAttempt(t, p, "a", patience), 0
+				a := newTestAttempt(t, p, "a", patience)
+				checks := 0
 				if streamed {
-					a.Request.Method, a.Request.Stream = http.MethodPost, newRequestStream(t, strings.NewReader(strings.Repeat("x", 100_000)), 100_000)
+					a.Request.Method = http.MethodPost
+					a.Request.Stream = newRequestStream(t, strings.NewReader(strings.Repeat("x", 100_000)), 100_000)
 					a.Observer = uploadObserver(func(time.Time) time.Time { return a.Deadline })
 				}
-				a.Request.ClientGone = func() bool { // asked before a connection is taken, and again right before the first byte
-					if looks++; looks == 2 {
-						_, _ = io.WriteString(<-theirs, stray)
-						c := <-ours
+				a.Request.ClientGone = func() bool { // called before a connection is taken, and right before the first byte
+					if checks++; checks == 2 {
+						_, _ = io.WriteString(<-backendConns, stray)
+						c := <-ownConns
 						backendtest.WaitUntil(t, func() bool { return !socket.IsQuiet(c) })
 					}
 					return false
 				}
-				if res := a.run(); res.Status != balancer.OK || b.Requests.Load() != 2 || b.Connections.Load() != 2 {
-					t.Errorf("got %v; %d requests on %d connections", res.Status, b.Requests.Load(), b.Connections.Load())
+				if result := a.run(); result.Status != balancer.OK || b.Requests.Load() != 2 || b.Connections.Load() != 2 {
+					t.Errorf("got %v; %d requests on %d connections", result.Status, b.Requests.Load(), b.Connections.Load())
 				}
 			})
 		}
 	}
 }
 
-// A backend that speaks before it has the whole request has not answered it. Nothing more of it goes out then, so that
-// it can't run, though its client has written all of it.
-func TestAWordBeforeTheRequestsEndIsNoAnswerToIt(t *testing.T) {
-	for name, word := range strays {
+// The backend responds before it has received the complete request. Nothing more of it is written then, so that it cannot
+// run, though its client has sent all of it.
+func TestUploadStopsAtEarlyResponse(t *testing.T) {
+	for name, response := range strayResponses {
 		t.Run(name, func(t *testing.T) {
-			speak, whole := make(chan struct{}), make(chan bool, 1)
+			respond, complete := make(chan struct{}), make(chan bool, 1)
 			b := backendtest.StartRaw(t, func(w io.Writer, r *http.Request) bool {
-				<-speak
-				_, _ = io.WriteString(w, word)
+				<-respond
+				_, _ = io.WriteString(w, response)
 				body, err := io.ReadAll(r.Body)
-				whole <- err == nil && len(body) == 20_000
+				complete <- err == nil && len(body) == 20_000
 				return false
 			})
 			p := newTestPool(4, b.Address)
 			a := newTestAttempt(t, p, "a", patience)
-			a.Request.Method, a.Request.Stream = http.MethodPost, newRequestStream(t, strings.NewReader(strings.Repeat("x", 20_000)), 20_000)
+			a.Request.Method = http.MethodPost
+			a.Request.Stream = newRequestStream(t, strings.NewReader(strings.Repeat("x", 20_000)), 20_000)
 			a.Observer = uploadObserver(func(time.Time) time.Time { return time.Now().Add(patience) })
-			a.Request.Stream.SetEndHook(func() { // the client's part has ended, the last piece has not gone out
-				close(speak)
+			a.Request.Stream.SetEndHook(func() { // all has been read, and the last piece is not written yet
+				close(respond)
 				backendtest.WaitUntil(t, a.earlyResponse.Load)
 			})
-			res := a.run()
-			if res.Status != balancer.Rejected && res.Status != balancer.ConnectFailed {
-				t.Errorf("got %v", res.Status)
+			result := a.run()
+			if result.Status != balancer.Rejected && result.Status != balancer.ConnectFailed {
+				t.Errorf("got status %v", result.Status)
 			}
-			if backendtest.Receive(t, "end", whole) {
-				t.Error("it ran")
+			if backendtest.Receive(t, "end of the request", complete) {
+				t.Error("the whole request was written")
 			}
 		})
 	}
 }
 
-// overlong reads a body of a told length, and then fails where net/http looks for a surplus.
-type overlong struct{ left int }
+// failingEnd reads a body of a length in bytes, and fails at its end, where net/http looks for a surplus.
+type failingEnd struct{ remaining int }
 
-func (o *overlong) Read(b []byte) (int, error) {
-	if o.left == 0 {
+func (r *failingEnd) Read(b []byte) (int, error) {
+	if r.remaining == 0 {
 		return 0, io.ErrUnexpectedEOF
 	}
-	n := min(o.left, len(b))
-	o.left -= n
+	n := min(r.remaining, len(b))
+	r.remaining -= n
 	return n, nil
 }
 
-// An error of the client's after its last byte proves nothing: that byte may have gone out.
-func TestAnErrorBehindTheBodyLeavesInDoubtWhetherItRan(t *testing.T) {
-	whole := make(chan bool, 1)
+// The last byte may have been written, so that the request may run.
+func TestUploadReportsResetWhenBodyFailsAfterLastByte(t *testing.T) {
+	complete := make(chan bool, 1)
 	b := backendtest.StartRaw(t, func(_ io.Writer, r *http.Request) bool {
 		_, err := io.ReadAll(r.Body)
-		whole <- err == nil
+		complete <- err == nil
 		return false
 	})
 	p := newTestPool(4, b.Address)
 	a := newTestAttempt(t, p, "a", patience)
-	const length = 25 * 4096 // net/http's buffer is full then, and its last byte goes out before the error
-	a.Request.Method, a.Request.Stream = http.MethodPost, newRequestStream(t, &overlong{length}, length)
-	if res := a.run(); res.Status != balancer.Reset {
-		t.Errorf("got %v", res.Status)
-	}
-	if !backendtest.Receive(t, "end", whole) {
-		t.Error("the test's body did not go out whole")
+	const length = 25 * 4096 // fills net/http's buffer, so that the last byte is written before the error
+	a.Request.Method = http.MethodPost
+	a.Request.Stream = newRequestStream(t, &failingEnd{length}, length)
+	if result := a.run(); result.Status != balancer.Reset {
+		t.Errorf("got status %v", result.Status)
 	}
-}
-
-// An answer with another behind it is not to be believed when it says that the request never ran.
-func TestANotStartedWithMoreBehindItProvesNothing(t *testing.T) {
-	for name, text := range map[string]string{
-		"another":        "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n" + backendtest.OK,
-		"twice":          "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 No\r\nNot-Started: 1\r\n\r\n",
-		"in its own":     "HTTP/1.1 503 No\r\nNot-Started: 1\r\nX-Rest: " + backendtest.OK,
-		"without length": "HTTP/1.1 503 No\r\nNot-Started: 1\r\n\r\n",
-	} {
-		t.Run(name, func(t *testing.T) {
-			p := newTestPool(4, backendtest.Start(t, backendtest.Respond(text, false)).Address)
-			if res := newTestAttempt(t, p, "a", patience).run(); res.Status != balancer.Reset && res.Status != balancer.Error {
-				t.Errorf("got %v", res.Status)
-			}
-		})
+	if !backendtest.Receive(t, "end of the request", complete) {
+		t.Error("the body was not written completely")
 	}
 }
