--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -12,7 +12,7 @@
 var ErrConnectionLimit = errors.New("connection limit reached")
 
 func (p *Pool) dialWithTimeout(ctx context.Context, network, address string) (net.Conn, error) {
-	d := net.Dialer{Timeout: time.Duration(p.dialTimeout.Load()), KeepAlive: -1}
+	d := net.Dialer{Timeout: time.Duration(p.dialTimeout.Load()), KeepAlive: -1} // no TCP keep-alive
 	return d.DialContext(ctx, network, address)
 }
 
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -7,12 +7,12 @@
 	name       string
 	address    string
 	zone       string
-	group      int
-	startedMs  int64 // start of the process, in Unix milliseconds
-	serving    bool  // the list says so
-	ready      bool  // serving, and not detached by an operator
-	generation int   // counts changes of the endpoint: drained, removed, restarted, moved, regrouped, detached or attached
-	idle       []*conn
+	cell       int     // its endpoints recognize each other's retries
+	startedMs  int64   // start of the process, in Unix milliseconds
+	serving    bool    // as the list says
+	ready      bool    // serving, and not detached by an operator
+	generation int     // counts the changes of all of this, removal included
+	idle       []*conn // the most recently used last
 }
 
 // Target is one generation of an endpoint, to which an attempt is sent. It stays valid until the endpoint changes.
@@ -85,9 +85,9 @@
 	}
 	serving := update.Status == discovery.Serving
 	if e.address != update.Address || e.startedMs != update.SinceMs || e.serving != serving ||
-		e.zone != update.Zone || e.group != update.Group {
+		e.zone != update.Zone || e.cell != update.Group {
 		e.address, e.startedMs, e.serving = update.Address, update.SinceMs, serving
-		e.zone, e.group = update.Zone, update.Group
+		e.zone, e.cell = update.Zone, update.Group
 		e.ready = serving && !p.detached[update.Name]
 		p.advanceGenerationLocked(e)
 	}
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -15,6 +15,9 @@
 	"baylock/balancer"
 )
 
+// timeoutHeader tells an endpoint how much time is left for the request, in milliseconds.
+const timeoutHeader = "Request-Timeout-Ms"
+
 // exchange writes the request and reads the response. keep reports whether the connection can be used again.
 func (a *Attempt) exchange(ctx context.Context, c *conn) (result Result, keep bool) {
 	unhook := context.AfterFunc(ctx, c.abort)
@@ -92,7 +95,7 @@
 func (a *Attempt) httpRequest(body io.Reader) *http.Request {
 	r := a.Request
 	timeoutMs := max(1, time.Until(a.Deadline).Milliseconds())
-	r.Header.Set("Request-Timeout-Ms", strconv.FormatInt(timeoutMs, 10))
+	r.Header.Set(timeoutHeader, strconv.FormatInt(timeoutMs, 10))
 	path, query, _ := strings.Cut(r.URI, "?")
 	outgoing := &http.Request{
 		Method:        r.Method,
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -14,6 +14,8 @@
 )
 
 const (
+	notStartedHeader = "Not-Started" // its value 1 says that the request was rejected before it ran
+
 	maxResponseHead  = 8 << 10 // bytes
 	maxInformational = 8       // 1xx responses before the final one
 
@@ -27,7 +29,7 @@
 	errConflictingFraming   = errors.New("the head has conflicting framings")
 	errNestedHead           = errors.New("the head has two status lines")
 	errTooManyInformational = errors.New("too many informational responses")
-	errNoLength             = errors.New("the body has neither a length nor chunks") // so a broken one looks complete
+	errNoLength             = errors.New("the body has neither a length nor chunks") // an interrupted one looks complete
 )
 
 var statusLine = regexp.MustCompile(`HTTP/1\.[01] [1-5][0-9][0-9]\b`)
@@ -110,7 +112,7 @@
 	case code == http.StatusOK:
 		return Result{Status: balancer.OK, Body: body, ContentType: response.Header.Get("Content-Type")}
 	case code == http.StatusServiceUnavailable, code == http.StatusGatewayTimeout:
-		if response.Header.Get("Not-Started") == "1" && quiet {
+		if response.Header.Get(notStartedHeader) == "1" && quiet {
 			return Result{Status: balancer.Rejected}
 		}
 	case code >= 400 && code < 500 && code != http.StatusRequestTimeout && code != http.StatusTooManyRequests:
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,6 +1,7 @@
-// Package upstream sends requests to endpoints: it keeps the connections to all listed endpoints, races late dials, and
-// carries out single attempts, each of which sends a request at most once and reports a typed result. It never retries
-// by itself; http.Transport would, for idempotent requests on a connection that turns out to be dead.
+// Package upstream sends requests to endpoints. A Pool keeps the connections to all listed endpoints and hedges dials
+// that are late. An Attempt sends a request to one endpoint, at most once, and reports a Result that says whether the
+// request may have run. Whether to retry is the caller's decision: nothing here sends a request twice, as http.Transport
+// does with an idempotent one on a connection that turns out to be closed.
 package upstream
 
 import (
@@ -11,12 +12,12 @@
 	"baylock/internal/message"
 )
 
-// Request is a client's request as it is forwarded. It outlives single attempts.
+// Request is a client's request as it is forwarded. Its attempts share it, one after the other.
 type Request struct {
 	Method      string
 	URI         string // path and query, unchanged
 	Host        string
-	Header      http.Header            // without the headers of the client's connection
+	Header      http.Header            // without those of the client's connection; attempts set Request-Timeout-Ms
 	Body        []byte                 // the buffered part of the body
 	Stream      *message.RequestStream // the rest of the body; nil if all of it is buffered
 	Reservation *message.Reservation   // memory of buffered bodies; nil for no limit
@@ -35,13 +36,13 @@
 	connectionClosed bool // nothing was sent, since the connection was closed or had something to read
 }
 
-// Observer receives what happens while an attempt is in flight. Its methods are called on the attempt's goroutine and
-// must not wait for the attempt.
+// Observer is told of the progress of an attempt. Its methods are called on the goroutine of Attempt.Run.
 type Observer interface {
 	// UploadFinished is called when the last byte of a streamed request has been written. It returns the deadline for
 	// the response.
 	UploadFinished(at time.Time) (deadline time.Time)
 
-	// ResponseStarted is called with a response that is forwarded as it arrives. The attempt ends after it is delivered.
+	// ResponseStarted hands over a response that is forwarded as it arrives. The attempt lasts until the response's Done
+	// receives, or its context ends.
 	ResponseStarted(*message.ResponseStream)
 }
