--- a/internal/proxy/repeat_test.go
+++ b/internal/proxy/retry_test.go
@@ -14,17 +14,17 @@
 
 const failed = "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
 
-// rate is a request of the keyed class.
+// rate returns a request of the class that is idempotent with a key.
 func rate(id string) string {
 	return "POST /rate/k HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nRequest-Class: rate\r\n" +
 		"Request-Timeout-Ms: 8000\r\nIdempotency-Key: x\r\nContent-Length: 3\r\n\r\nabc"
 }
 
-// A repeat that was decided on in time is not sent when its connection came up only after the window for repeats: the
-// backend may have forgotten the first attempt by then, and the request would run twice. Its client hears so at once.
-func TestNoRepeatIsSentOnceItsWindowIsOver(t *testing.T) {
+// A retry that was decided on in time is not sent once its connection comes up after the deduplication window: the backend
+// may have forgotten the first attempt by then, and run the request twice. The client is answered at once.
+func TestRetryIsNotSentAfterDedupWindow(t *testing.T) {
 	const window = time.Second
-	for name, late := range map[string]bool{"a connection that comes up late": false, "one that the dialer still returns": true} {
+	for name, late := range map[string]bool{"dial ended by its context": false, "dial that returns late": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			b := startBackend(t, says(failed, false))
@@ -44,7 +44,7 @@
 					return dial(context.Background(), network, addr)
 				}
 			}, listText(1, true, listed("a", b.addr, discovery.Serving)), `"dedup_window_us":9000000`, `"dedup_window_us":1000000`,
-				`"objective_us":1000000`, `"objective_us":2600000`) // an attempt that hangs is given up later
+				`"objective_us":1000000`, `"objective_us":2600000`) // so that a hanging attempt lasts longer than the window
 			c := connect(t, p)
 			c.send(t, rate("1"))
 			resp, _ := c.answer(t)
@@ -60,8 +60,8 @@
 	}
 }
 
-// In the class's own group a repeat goes out while its window lasts.
-func TestARepeatInItsWindowIsSent(t *testing.T) {
+// The retry goes to an endpoint in the deduplication scope of its class.
+func TestRetryIsSentWithinDedupWindow(t *testing.T) {
 	b := startBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
 		if n == 1 {
 			_, _ = io.WriteString(w, failed)
@@ -78,9 +78,9 @@
 	}
 }
 
-// A long answer of which only the head has come is begun: were the connection to end without a word, its client would
-// take the request for unread and send it again.
-func TestALongAnswerThatBreaksOffIsBegunAllTheSame(t *testing.T) {
+// The head of a long response is forwarded though its body breaks off: were the connection to end without any byte, its
+// client would take the request for unread and send it again.
+func TestBrokenLongResponseIsStarted(t *testing.T) {
 	p, b := serving(t, says("HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n", false))
 	c := connect(t, p)
 	c.send(t, shortPost("1"))
