--- /dev/null
+++ b/internal/upstream/upload_test.go
@@ -0,0 +1,186 @@
+package upstream
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"baylock/balancer"
+	"baylock/internal/backendtest"
+	"baylock/internal/message"
+	"baylock/internal/socket"
+)
+
+// newRequestStream returns the stream of a body that its client has already sent.
+func newRequestStream(t *testing.T, body io.Reader, length int64) *message.RequestStream {
+	t.Helper()
+	return message.NewRequestStream(body, length, http.NewResponseController(httptest.NewRecorder()),
+		time.Now().Add(patience))
+}
+
+// strayResponses answer no request, but say that one was rejected.
+var strayResponses = map[string]string{
+	"503":             "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n",
+	"504":             "HTTP/1.1 504 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n",
+	"incomplete head": "HTTP/1.1 503 No\r\nNot-Started: 1\r\nX-Rest: ",
+}
+
+// A retry is cut off before its last byte, so that it cannot run.
+func TestAttemptStopsWritingRetryAtDedupDeadline(t *testing.T) {
+	for name, streamed := range map[string]bool{"buffered": false, "streamed": true} {
+		t.Run(name, func(t *testing.T) {
+			complete := make(chan bool, 1)
+			l, err := net.Listen("tcp", "127.0.0.1:0")
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer l.Close()
+			started := make(chan *testAttempt, 1)
+			go func() {
+				c, err := l.Accept()
+				if err != nil {
+					return
+				}
+				defer c.Close()
+				time.Sleep(time.Until((<-started).DedupDeadline.Add(50 * time.Millisecond))) // reads nothing before
+				got, _ := io.ReadAll(c)
+				complete <- len(got) > 8<<20 // head included
+			}()
+			p := newTestPool(4, l.Addr().String())
+			a := newTestAttempt(t, p, "a", patience)
+			a.Request.Method = http.MethodPost
+			a.Observer = uploadObserver(func(time.Time) time.Time { return time.Now().Add(patience) })
+			if body := bytes.Repeat([]byte("0123456789abcde\n"), 1<<19); streamed {
+				a.Request.Stream = newRequestStream(t, bytes.NewReader(body), int64(len(body)))
+			} else {
+				a.Request.Body = body
+			}
+			a.DedupDeadline = time.Now().Add(500 * time.Millisecond)
+			started <- a
+			if result := a.run(); result.Status != balancer.ConnectFailed {
+				t.Errorf("got status %v", result.Status)
+			}
+			if backendtest.Receive(t, "end of the request", complete) {
+				t.Error("all of the request was written")
+			}
+		})
+	}
+}
+
+// A stray response arrives after the connection was taken for the next request, and before that is written. Taken for
+// the response, it would say that the request was rejected, though it runs.
+func TestAttemptSkipsConnectionWithStrayResponse(t *testing.T) {
+	for name, stray := range strayResponses {
+		for kind, streamed := range map[string]bool{"buffered": false, "streamed": true} {
+			t.Run(name+", "+kind, func(t *testing.T) {
+				backendConns, ownConns := make(chan io.Writer, 2), make(chan net.Conn, 2)
+				b := backendtest.Start(t, func(w io.Writer, _ *http.Request, _ int) bool {
+					backendConns <- w
+					_, _ = io.WriteString(w, backendtest.OK)
+					return true
+				})
+				p := newTestPool(4, b.Address)
+				dial := p.DialContext
+				p.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+					c, err := dial(ctx, network, addr)
+					ownConns <- c
+					return c, err
+				}
+				if result := newTestAttempt(t, p, "a", patience).run(); result.Status != balancer.OK {
+					t.Fatalf("got status %v", result.Status)
+				}
+				restIdle(p)
+				a := newTestAttempt(t, p, "a", patience)
+				checks := 0
+				if streamed {
+					a.Request.Method = http.MethodPost
+					a.Request.Stream = newRequestStream(t, strings.NewReader(strings.Repeat("x", 100_000)), 100_000)
+					a.Observer = uploadObserver(func(time.Time) time.Time { return a.Deadline })
+				}
+				a.Request.ClientGone = func() bool { // called before a connection is taken, and right before the first byte
+					if checks++; checks == 2 {
+						_, _ = io.WriteString(<-backendConns, stray)
+						c := <-ownConns
+						backendtest.WaitUntil(t, func() bool { return !socket.IsQuiet(c) })
+					}
+					return false
+				}
+				if result := a.run(); result.Status != balancer.OK || b.Requests.Load() != 2 || b.Connections.Load() != 2 {
+					t.Errorf("got %v; %d requests on %d connections", result.Status, b.Requests.Load(), b.Connections.Load())
+				}
+			})
+		}
+	}
+}
+
+// The backend responds before it has received the complete request. Nothing more of it is written then, so that it cannot
+// run, though its client has sent all of it.
+func TestUploadStopsAtEarlyResponse(t *testing.T) {
+	for name, response := range strayResponses {
+		t.Run(name, func(t *testing.T) {
+			respond, complete := make(chan struct{}), make(chan bool, 1)
+			b := backendtest.StartRaw(t, func(w io.Writer, r *http.Request) bool {
+				<-respond
+				_, _ = io.WriteString(w, response)
+				body, err := io.ReadAll(r.Body)
+				complete <- err == nil && len(body) == 20_000
+				return false
+			})
+			p := newTestPool(4, b.Address)
+			a := newTestAttempt(t, p, "a", patience)
+			a.Request.Method = http.MethodPost
+			a.Request.Stream = newRequestStream(t, strings.NewReader(strings.Repeat("x", 20_000)), 20_000)
+			a.Observer = uploadObserver(func(time.Time) time.Time { return time.Now().Add(patience) })
+			a.Request.Stream.SetEndHook(func() { // all has been read, and the last piece is not written yet
+				close(respond)
+				backendtest.WaitUntil(t, a.earlyResponse.Load)
+			})
+			result := a.run()
+			if result.Status != balancer.Rejected && result.Status != balancer.ConnectFailed {
+				t.Errorf("got status %v", result.Status)
+			}
+			if backendtest.Receive(t, "end of the request", complete) {
+				t.Error("the whole request was written")
+			}
+		})
+	}
+}
+
+// failingEnd reads a body of a length in bytes, and fails at its end, where net/http looks for a surplus.
+type failingEnd struct{ remaining int }
+
+func (r *failingEnd) Read(b []byte) (int, error) {
+	if r.remaining == 0 {
+		return 0, io.ErrUnexpectedEOF
+	}
+	n := min(r.remaining, len(b))
+	r.remaining -= n
+	return n, nil
+}
+
+// The last byte may have been written, so that the request may run.
+func TestUploadReportsResetWhenBodyFailsAfterLastByte(t *testing.T) {
+	complete := make(chan bool, 1)
+	b := backendtest.StartRaw(t, func(_ io.Writer, r *http.Request) bool {
+		_, err := io.ReadAll(r.Body)
+		complete <- err == nil
+		return false
+	})
+	p := newTestPool(4, b.Address)
+	a := newTestAttempt(t, p, "a", patience)
+	const length = 25 * 4096 // fills net/http's buffer, so that the last byte is written before the error
+	a.Request.Method = http.MethodPost
+	a.Request.Stream = newRequestStream(t, &failingEnd{length}, length)
+	if result := a.run(); result.Status != balancer.Reset {
+		t.Errorf("got status %v", result.Status)
+	}
+	if !backendtest.Receive(t, "end of the request", complete) {
+		t.Error("the body was not written completely")
+	}
+}
