--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -11,14 +11,14 @@
 	}
 	for i := range Microseconds(20 * minRoundSamples) {
 		bad := i%3 > 0 // two of three calls are late or fail, the others are fast
-		r.adjust(&r.evidence, start+i, start+i, bad, speedOf(bad, true))
+		r.adjust(&r.evidence, start+i, sample{start + i, bad, speedOf(bad, true)})
 	}
 	if want := limitHeadroomFactor * 20; r.max < want {
 		t.Errorf("failures beside fast calls cut the count to %v, want %v or more", r.max, want)
 	}
 	for i := range Microseconds(20 * minRoundSamples) {
 		now := start + second + i
-		r.adjust(&r.evidence, now, now, i%3 > 0, slowResponse) // as many are bad, but now no other is fast
+		r.adjust(&r.evidence, now, sample{now, i%3 > 0, slowResponse}) // as many are bad, but now no other is fast
 	}
 	if r.max > 5 {
 		t.Errorf("slow calls leave a count of %v", r.max)
@@ -31,15 +31,15 @@
 		for i := range Microseconds(20 * minRoundSamples) {
 			now := from + i
 			bad := i%3 > 0
-			b.recordPressure(now, b.classes[0], &attempt{class: &b.settings.Classes[0], sentAt: now}, bad, bad, speedOf(bad && fast, fast))
+			b.applyPressure(now, b.classes[0], &attempt{class: &b.settings.Classes[0], sentAt: now}, pressure{slow: bad, speed: speedOf(bad && fast, fast)})
 		}
 	}
 	feed(start, true)
-	if b.quotaMultiplier != overloadQuotaMultiplierFront {
-		t.Errorf("failures beside fast calls leave a share of %v, want %v", b.quotaMultiplier, overloadQuotaMultiplierFront)
+	if b.quotas.multiplier != overloadQuotaMultiplier {
+		t.Errorf("failures beside fast calls leave a share of %v, want %v", b.quotas.multiplier, overloadQuotaMultiplier)
 	}
 	feed(start+second, false)
-	if b.quotaMultiplier > 0.5 {
-		t.Errorf("slow calls leave a share of %v", b.quotaMultiplier)
+	if b.quotas.multiplier > 0.5 {
+		t.Errorf("slow calls leave a share of %v", b.quotas.multiplier)
 	}
 }
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -232,7 +232,7 @@
 	}
 	ask(b, h, start+2000, "keyed", 1)
 	b.HandleOutcome(start+3000, h, Outcome{ID: "keyed", Status: Rejected, Latency: 1000})
-	if len(h.sends) != 3 || b.byID[h.sends[1].server].Cell != b.byID[h.sends[2].server].Cell {
+	if len(h.sends) != 3 || b.endpoints.byID[h.sends[1].server].Cell != b.endpoints.byID[h.sends[2].server].Cell {
 		t.Errorf("a keyed request that was turned away left its group: %q", h.lines)
 	}
 }
@@ -294,7 +294,7 @@
 	if part > s.SlowStartCapacity || part == 0 {
 		t.Errorf("a cold server got %.3f of a warm one's calls, capacity is %.3f", part, s.SlowStartCapacity)
 	}
-	if w := b.slowStartFactor(start+s.SlowStartDuration, b.byID["s1"]); w != 1 {
+	if w := b.settings.slowStartFactor(start+s.SlowStartDuration, b.endpoints.byID["s1"]); w != 1 {
 		t.Errorf("a server past its warming time has warmth %v", w)
 	}
 }
@@ -386,7 +386,7 @@
 	feed := func(n int, bad bool) {
 		for range n {
 			now++
-			r.adjust(&r.evidence, now, now, bad, speedOf(false, !bad))
+			r.adjust(&r.evidence, now, sample{now, bad, speedOf(false, !bad)})
 		}
 	}
 	for range 20 {
@@ -408,7 +408,7 @@
 	}
 	sentBefore := now - 1
 	for range 3 * minRoundSamples { // evidence from before the cut must not cut again
-		r.adjust(&r.evidence, now, sentBefore, true, slowResponse)
+		r.adjust(&r.evidence, now, sample{sentBefore, true, slowResponse})
 	}
 	if r.max != cut {
 		t.Errorf("old evidence changed the count to %v", r.max)
@@ -425,17 +425,17 @@
 // A copy that has cut down to a call in seconds took a minute to fill a round, long after its servers were well.
 func TestSparseRoundsEndByTimeAndOnlyWhenGood(t *testing.T) {
 	ev := evidenceRound{allowedBad: maxBadFraction, minDuration: 5 * second}
-	if v, _ := ev.add(start, start, true, slowResponse); v != signalPending {
+	if v, _ := ev.add(start, sample{start, true, slowResponse}); v != signalPending {
 		t.Errorf("one bad finish is taken for a round: %v", v)
 	}
-	if v, _ := ev.add(start+second, start, false, fastResponse); v != signalPending {
+	if v, _ := ev.add(start+second, sample{start, false, fastResponse}); v != signalPending {
 		t.Errorf("a half bad pair is taken for a round: %v", v)
 	}
 	ev = evidenceRound{allowedBad: maxBadFraction, minDuration: 5 * second, start: start}
-	if v, _ := ev.add(start+second, start, false, fastResponse); v != signalPending {
+	if v, _ := ev.add(start+second, sample{start, false, fastResponse}); v != signalPending {
 		t.Errorf("quick finishes judge before slow ones can show: %v", v)
 	}
-	if v, _ := ev.add(start+5*second, start+second, false, fastResponse); v != signalHealthy {
+	if v, _ := ev.add(start+5*second, sample{start + second, false, fastResponse}); v != signalHealthy {
 		t.Errorf("after its span a good round is not judged: %v", v)
 	}
 }
@@ -468,7 +468,7 @@
 		b, h := with(t, s, 4)
 		for i := range 100 {
 			now, id := start+Microseconds(i)*4*second, fmt.Sprint(i)
-			b.quotaMultiplier, b.tenants[0].arrivals, b.arrivals = share, tally{}, tally{}
+			b.quotas.multiplier, b.quotas.tenants[0].arrivals, b.quotas.arrivals = share, decayingCount{}, decayingCount{}
 			b.HandleRequest(now, h, Request{ID: id, Deadline: now + second})
 			b.HandleOutcome(now, h, Outcome{ID: id, Status: OK, Latency: 1000, RequestDone: true})
 		}
@@ -549,22 +549,22 @@
 
 func TestWeightsFollowSpeedAndFailures(t *testing.T) {
 	b, _ := with(t, testSettings(), 2)
-	fast, slow := b.byID["s0"], b.byID["s1"]
+	fast, slow := b.endpoints.byID["s0"], b.endpoints.byID["s1"]
 	c := b.classes[0]
 	for range 200 {
-		b.recordLatency(c, fast, 100_000)
-		b.recordLatency(c, slow, 300_000)
+		c.latency.record(fast, 100_000)
+		c.latency.record(slow, 300_000)
 	}
 	if b.weight(start, fast, b.classes[0]) < 2*b.weight(start, slow, b.classes[0]) {
 		t.Errorf("weights %v and %v", b.weight(start, fast, b.classes[0]), b.weight(start, slow, b.classes[0]))
 	}
 	before := b.weight(start, fast, b.classes[0])
-	b.recordStatus(fast, b.classes[0], Error)
+	b.outliers.record(fast, b.classes[0], Error)
 	if b.weight(start, fast, b.classes[0]) > before/2 {
 		t.Error("a failure that its peer does not show left the weight")
 	}
 	for range 100 {
-		b.recordStatus(fast, b.classes[0], Error)
+		b.outliers.record(fast, b.classes[0], Error)
 	}
 	if b.weight(start, fast, b.classes[0]) <= 0 {
 		t.Error("no floor keeps trials going")
@@ -574,10 +574,10 @@
 // Servers that failed one class were lost to the others too, and the rest was crowded.
 func TestAnErrorConcernsItsClassAndSilenceTheServer(t *testing.T) {
 	b, _ := with(t, testSettings(), 4)
-	ill, well := b.byID["s0"], b.byID["s1"]
+	ill, well := b.endpoints.byID["s0"], b.endpoints.byID["s1"]
 	for range 5 {
-		b.recordStatus(ill, b.classes[0], Error)
-		b.recordStatus(well, b.classes[0], OK)
+		b.outliers.record(ill, b.classes[0], Error)
+		b.outliers.record(well, b.classes[0], OK)
 	}
 	if w := b.weight(start, ill, b.classes[0]); w > b.weight(start, well, b.classes[0])/5 {
 		t.Errorf("a server that fails the class keeps weight %v", w)
@@ -586,9 +586,9 @@
 		t.Error("errors of one class cost a server the others")
 	}
 	for range 5 {
-		b.recordStatus(ill, b.classes[0], TimedOut)
+		b.outliers.record(ill, b.classes[0], TimedOut)
 		for range 3 {
-			b.recordStatus(well, b.classes[0], OK)
+			b.outliers.record(well, b.classes[0], OK)
 		}
 	}
 	if w := b.weight(start, ill, b.classes[2]); w > b.weight(start, well, b.classes[2])/5 {
@@ -655,12 +655,12 @@
 func TestPeersShowingTheSameAreNotBlamed(t *testing.T) {
 	b, _ := with(t, testSettings(), 4)
 	for range 100 {
-		for _, s := range b.all {
-			b.recordStatus(s, b.classes[0], Error)
+		for _, s := range b.endpoints.all {
+			b.outliers.record(s, b.classes[0], Error)
 		}
 	}
-	for _, s := range b.all {
-		if b.recordStatus(s, b.classes[0], Error) {
+	for _, s := range b.endpoints.all {
+		if b.outliers.record(s, b.classes[0], Error) {
 			t.Errorf("%s is blamed for what its peers show", s.ID)
 		}
 	}
@@ -697,12 +697,12 @@
 	if got := sends(); len(got) != 3 {
 		t.Fatalf("sent %v while the key rests", got)
 	}
-	b.TimerFired(start+101_000, h, "turn k")
+	b.TimerFired(start+101_000, h, timerToken{cooldownTimer, "k"}.String())
 	if got := sends(); !slices.Equal(got, []string{"a", "other", "free", "c"}) {
 		t.Fatalf("sent %v after the rest", got)
 	}
 	take(start+102_000, "d", "k")
-	b.TimerFired(start+102_000+second-1000, h, "held d")
+	b.TimerFired(start+102_000+second-1000, h, timerToken{expiryTimer, "d"}.String())
 	if h.last() != "refuse d" {
 		t.Errorf("a held request's time ends with %q", h.last())
 	}
@@ -720,8 +720,8 @@
 		ask(b, h, now, id, 0)
 		b.HandleOutcome(now, h, Outcome{ID: id, Status: OK, Latency: 1000, RequestDone: true})
 	}
-	if most := int(defaultRetryBudgetWindow/second) + 1; len(b.requestTimes) > most {
-		t.Errorf("%d times of requests are kept, %d are needed", len(b.requestTimes), most)
+	if most := int(defaultRetryBudgetWindow/second) + 1; len(b.retries.requests) > most {
+		t.Errorf("%d times of requests are kept, %d are needed", len(b.retries.requests), most)
 	}
 }
 
@@ -862,26 +862,26 @@
 		if len(h.delays) != 1 || h.delays[0] > 2*second {
 			t.Fatalf("rests %v", h.delays)
 		}
-		b.TimerFired(start, h, subscribeToken)
+		b.TimerFired(start, h, timerToken{kind: subscribeTimer}.String())
 	}
 }
 
 func TestHomeFirstAndSpillUnderPressure(t *testing.T) {
 	b, _ := with(t, testSettings(), 8)
-	home := b.weight(start, b.byID["s0"], b.classes[0])
+	home := b.weight(start, b.endpoints.byID["s0"], b.classes[0])
 	now := start
 	feed := func(n int, bad bool) {
 		for range n {
 			now++
-			b.recordPressure(now, b.classes[0], &attempt{class: &b.settings.Classes[0], sentAt: now, zone: b.settings.Zone}, bad, bad, speedOf(false, !bad))
+			b.applyPressure(now, b.classes[0], &attempt{class: &b.settings.Classes[0], sentAt: now, zone: b.settings.Zone}, pressure{slow: bad, speed: speedOf(false, !bad)})
 		}
 	}
 	feed(60*minRoundSamples, false)
-	if away := b.weight(start, b.byID["s2"], b.classes[0]); away > home/10 {
+	if away := b.weight(start, b.endpoints.byID["s2"], b.classes[0]); away > home/10 {
 		t.Errorf("a calm home leaves %.3f of the weight to other zones", away/home)
 	}
 	feed(20*minRoundSamples, true)
-	if away := b.weight(start, b.byID["s2"], b.classes[0]); away < home/2 {
+	if away := b.weight(start, b.endpoints.byID["s2"], b.classes[0]); away < home/2 {
 		t.Errorf("a home in trouble leaves %.3f of the weight to other zones", away/home)
 	}
 }
@@ -899,14 +899,14 @@
 	now, long := start, s.Classes[1].LatencyObjective*3/4
 	for range 4 * minRoundSamples {
 		now += 2 * long
-		b.recordPressure(now, b.classes[1], &attempt{class: &b.settings.Classes[1], sentAt: now - long}, true, true, slowResponse)
+		b.applyPressure(now, b.classes[1], &attempt{class: &b.settings.Classes[1], sentAt: now - long}, pressure{slow: true, speed: slowResponse})
 	}
 	if cheap.max > 10 || dear.max != initialLimit {
 		t.Errorf("after slow calls of the worthier class: cheap %v, dear %v", cheap.max, dear.max)
 	}
 	for range 4 * minRoundSamples {
 		now += 2 * long
-		b.recordPressure(now, b.classes[0], &attempt{class: &b.settings.Classes[0], sentAt: now - long}, true, true, slowResponse)
+		b.applyPressure(now, b.classes[0], &attempt{class: &b.settings.Classes[0], sentAt: now - long}, pressure{slow: true, speed: slowResponse})
 	}
 	if dear.max != initialLimit {
 		t.Errorf("slow cheap calls cut the worthier class to %v", dear.max)
@@ -946,8 +946,8 @@
 func TestARefusedConnectionIsAlwaysBlamed(t *testing.T) {
 	b, _ := with(t, testSettings(), 8)
 	for range 5 {
-		for _, s := range b.all {
-			if !b.recordStatus(s, b.classes[0], ConnectFailed) {
+		for _, s := range b.endpoints.all {
+			if !b.outliers.record(s, b.classes[0], ConnectFailed) {
 				t.Fatalf("%s is not blamed for a refused connection", s.ID)
 			}
 		}
@@ -960,7 +960,7 @@
 	if len(h.lines) != 0 {
 		t.Fatalf("a calm copy reports %q", h.lines)
 	}
-	b.quotaMultiplier = 0.5
+	b.quotas.multiplier = 0.5
 	for i := range Microseconds(25) {
 		b.report(start+i*second, h)
 	}
@@ -983,15 +983,15 @@
 	if n := len(h.sends); n != 32 {
 		t.Errorf("%d of 32 pass at a fresh copy", n)
 	}
-	for i := 0; b.quotaMultiplier > 1; i++ {
+	for i := 0; b.quotas.multiplier > 1; i++ {
 		if i == 10*minRoundSamples {
-			t.Fatalf("share still %v", b.quotaMultiplier)
+			t.Fatalf("share still %v", b.quotas.multiplier)
 		}
 		now := start + 2*second + Microseconds(i)
-		b.recordPressure(now, b.classes[0], &attempt{class: &b.settings.Classes[0], sentAt: now}, true, true, slowResponse)
+		b.applyPressure(now, b.classes[0], &attempt{class: &b.settings.Classes[0], sentAt: now}, pressure{slow: true, speed: slowResponse})
 	}
-	if b.quotaMultiplier < minQuotaMultiplier || b.quotaMultiplier >= 1 {
-		t.Errorf("a bad round leaves a share of %v", b.quotaMultiplier)
+	if b.quotas.multiplier < minQuotaMultiplier || b.quotas.multiplier >= 1 {
+		t.Errorf("a bad round leaves a share of %v", b.quotas.multiplier)
 	}
 }
 
@@ -1015,13 +1015,13 @@
 	s := testSettings()
 	s.Tenants = []Tenant{{QuotaFraction: 1, RateQuota: 20}}
 	b, _ := with(t, s, 8)
-	b.quotaMultiplier = overloadQuotaMultiplierFront
+	b.quotas.multiplier = overloadQuotaMultiplier
 	for i := range 12 * minRoundSamples {
 		now := start + Microseconds(i)
-		b.recordPressure(now, b.classes[0], &attempt{class: &b.settings.Classes[0], sentAt: now}, false, false, fastResponse)
+		b.applyPressure(now, b.classes[0], &attempt{class: &b.settings.Classes[0], sentAt: now}, pressure{slow: false, speed: fastResponse})
 	}
-	if b.quotaMultiplier != initialQuotaMultiplier {
-		t.Errorf("share %v after a dozen good rounds", b.quotaMultiplier)
+	if b.quotas.multiplier != initialQuotaMultiplier {
+		t.Errorf("share %v after a dozen good rounds", b.quotas.multiplier)
 	}
 }
 
@@ -1059,9 +1059,9 @@
 	for _, c := range b.classes {
 		waiting += len(c.unmarked)
 	}
-	if len(b.requests) > 0 || len(b.keyQueues) > 0 || len(b.byID) > 20 || len(b.all) > 20 || len(b.requestTimes) > 6000 ||
-		len(b.retryTimes) > 6000 || waiting > 2000 {
+	if len(b.requests) > 0 || len(b.keyQueues) > 0 || len(b.endpoints.byID) > 20 || len(b.endpoints.all) > 20 || len(b.retries.requests) > 6000 ||
+		len(b.retries.retries) > 6000 || waiting > 2000 {
 		t.Errorf("left: %d requests, %d turns, %d and %d servers, %d taken, %d further, %d waiting", len(b.requests),
-			len(b.keyQueues), len(b.byID), len(b.all), len(b.requestTimes), len(b.retryTimes), waiting)
+			len(b.keyQueues), len(b.endpoints.byID), len(b.endpoints.all), len(b.retries.requests), len(b.retries.retries), waiting)
 	}
 }
--- a/balancer/detach_test.go
+++ b/balancer/detach_test.go
@@ -63,21 +63,21 @@
 // The backend was restarted meanwhile, and the list may not yet say so: it is cold, and warm in the usual time.
 func TestAnAttachedServerIsCold(t *testing.T) {
 	b, _ := with(t, testSettings(), 4)
-	s := b.byID["s1"]
+	s := b.endpoints.byID["s1"]
 	b.Detach("s1")
 	s.overall.factor = minHealth // what was learned of the process before
 	b.Attach(start, "s1")
-	if w := b.slowStartFactor(start, s); w != slowStartMargin*b.settings.SlowStartCapacity {
+	if w := b.settings.slowStartFactor(start, s); w != slowStartMargin*b.settings.SlowStartCapacity {
 		t.Errorf("its warmth is %v", w)
 	}
 	if s.overall.factor != 1 {
 		t.Errorf("its health is %v", s.overall.factor)
 	}
-	if w := b.slowStartFactor(start+b.settings.SlowStartDuration, s); w != 1 {
+	if w := b.settings.slowStartFactor(start+b.settings.SlowStartDuration, s); w != 1 {
 		t.Errorf("later its warmth is %v", w)
 	}
 	b.Attach(start+b.settings.SlowStartDuration, "s1") // harmless: it was in use all along
-	if w := b.slowStartFactor(start+b.settings.SlowStartDuration, s); w != 1 {
+	if w := b.settings.slowStartFactor(start+b.settings.SlowStartDuration, s); w != 1 {
 		t.Errorf("after a repeated call its warmth is %v", w)
 	}
 }
@@ -89,8 +89,8 @@
 	set.Tier = 1 // other zones weigh little here
 	b, _ := with(t, set, 16)
 	drawn(b, start, 400)
-	last := b.ready[len(b.ready)-1]
-	for _, s := range b.ready {
+	last := b.endpoints.ready[len(b.endpoints.ready)-1]
+	for _, s := range b.endpoints.ready {
 		if s.Zone != set.Zone {
 			last = s
 		}
@@ -127,7 +127,7 @@
 			t.Errorf("%d calls went there, two of them in vain", tries)
 		}
 	}
-	last = b.byID[last.ID]
+	last = b.endpoints.byID[last.ID]
 	if last.reintroductionPending || b.weight(start, last, b.classes[0]) >= slowStartMargin {
 		t.Errorf("after its first call: owed %v, weighs %v", last.reintroductionPending, b.weight(start, last, b.classes[0]))
 	}
--- a/balancer/learned_test.go
+++ b/balancer/handover_test.go
@@ -10,9 +10,9 @@
 // learned to hold back.
 func TestACopyThatTakesOverBeginsWhereTheOtherStood(t *testing.T) {
 	old, _ := with(t, testSettings(), 3)
-	old.tierLimit.max, old.quotaMultiplier, old.crossZoneWeight, old.errorRate = 7.5, 0.6, 0.4, 0.2
-	old.classes[1].limit.max, old.classes[1].meanLatency, old.classes[1].unloadedLatency = 3, 400_000, 300_000
-	old.byID["s1"].overall.factor, old.byID["s2"].relativeLatency, old.byID["s0"].perClass[2].factor = 0.1, 2, 0.5
+	old.tierLimit.max, old.quotas.multiplier, old.zones.crossZoneWeight, old.outliers.errorRate = 7.5, 0.6, 0.4, 0.2
+	old.classes[1].limit.max, old.classes[1].latency.mean, old.classes[1].latency.unloaded = 3, 400_000, 300_000
+	old.endpoints.byID["s1"].overall.factor, old.endpoints.byID["s2"].relativeLatency, old.endpoints.byID["s0"].perClass[2].factor = 0.1, 2, 0.5
 	l := old.ExportState()
 	b, h := with(t, testSettings(), 2)
 	b.ImportState(l)
@@ -51,7 +51,7 @@
 	s := named(testSettings())
 	old, _ := with(t, s, 2)
 	old.classes[0].limit.max, old.classes[1].limit.max, old.classes[2].limit.max = 20, 30, 40
-	old.byID["s0"].classHealth(old.classes[1]).factor = 0.5
+	old.endpoints.byID["s0"].classHealth(old.classes[1]).factor = 0.5
 	l := old.ExportState()
 	moved := s
 	moved.Classes = []Class{s.Classes[2], s.Classes[1], {Name: "fresh", LatencyObjective: 1, Deadline: 1}}
@@ -60,7 +60,7 @@
 	if one, two, fresh := b.classes[0].limit.max, b.classes[1].limit.max, b.classes[2].limit.max; one != 40 || two != 30 || fresh != initialLimit {
 		t.Errorf("counts %v, %v, %v", one, two, fresh)
 	}
-	if health := b.byID["s0"]; health.classHealth(b.classes[1]).factor != 0.5 || health.classHealth(b.classes[0]).factor != 1 {
+	if health := b.endpoints.byID["s0"]; health.classHealth(b.classes[1]).factor != 0.5 || health.classHealth(b.classes[0]).factor != 1 {
 		t.Errorf("health %+v", health.perClass)
 	}
 }
--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -371,7 +371,7 @@
 	case x < 942:
 		d.b.UpdateEndpoints(d.now, d.c, FailedUpdate, nil)
 	case x < 960 && len(d.c.timers) > 0: // a stale copy of a timer
-		d.b.TimerFired(d.now, d.c, "watch")
+		d.b.TimerFired(d.now, d.c, timerToken{kind: subscribeTimer}.String())
 	case x < 975:
 		d.withdraw()
 	case x < 985: // events that name nothing known
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -2,30 +2,31 @@
 
 import "slices"
 
-// How new settings replace those in force. This file keeps books; it decides nothing.
-
-// Reconfigure puts other settings in force, for all that is decided from now on. They are checked whole first: on an
-// error nothing has changed.
+// Reconfigure puts other settings in force, for all that is decided from now on. They are checked completely
+// first. On an error, which is a *FieldError, nothing has changed; Tier and SubscribeRequired cannot change at
+// all.
 //
-// Classes and tenants are known again by their names. What was learned of those that stay, of servers and of the tier is
-// kept; what is new begins as in New. A request that has come keeps its class as it was then, also where that class is
-// now gone, and an attempt the settings that it was decided under. Nothing is sent, ended or drawn here.
+// Classes and tenants are identified by their names. What was learned of those that stay, of endpoints and of
+// the tier is kept; new ones begin as in New. A request that has arrived keeps its class as it was then, also
+// where that class is gone now, and an attempt the settings that it was decided under. Reconfigure calls no
+// Host and draws no random numbers.
 func (b *Balancer) Reconfigure(s Settings) error {
 	if err := s.validate(); err != nil {
 		return err
 	}
-	// Counts and shares that one tier has taught mean nothing in another.
+	const needsRestart = "a change needs a restart"
+	// Limits and quotas that one tier has taught mean nothing in another.
 	if s.Tier != b.settings.Tier {
-		return &FieldError{Field: "Tier", Problem: "a change needs a restart", Value: s.Tier}
+		return &FieldError{Field: "Tier", Problem: needsRestart, Value: s.Tier}
 	}
-	// What was asked of the subscription before would never be answered, or what is told now was never asked for.
+	// A subscription that was requested would never be answered, or one be answered that was not requested.
 	if s.SubscribeRequired != b.settings.SubscribeRequired {
-		return &FieldError{Field: "SubscribeRequired", Problem: "a change needs a restart", Value: s.SubscribeRequired}
+		return &FieldError{Field: "SubscribeRequired", Problem: needsRestart, Value: s.SubscribeRequired}
 	}
-	ordinal := b.settings.ReplicaIndex
+	indexChanged := s.ReplicaIndex != b.settings.ReplicaIndex
 	b.configure(s)
-	if s.ReplicaIndex != ordinal {
-		b.relist()
+	if indexChanged {
+		b.endpoints.refresh()
 	}
 	return nil
 }
@@ -34,73 +35,55 @@
 func (b *Balancer) configure(s Settings) {
 	s.Classes, s.Tenants = slices.Clone(s.Classes), slices.Clone(s.Tenants)
 	if s.RetryBudgetWindow == 0 {
-		s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = defaultRetryBudgetWindow, defaultRetryBudgetMin, defaultRetryBudgetRatio
+		s.RetryBudgetWindow = defaultRetryBudgetWindow
+		s.RetryBudgetMin, s.RetryBudgetRatio = defaultRetryBudgetMin, defaultRetryBudgetRatio
 	}
-	old := b.settings
+	before := b.settings
 	b.settings = &s
-	b.replaceClasses(old.Classes)
-	b.replaceTenants(old.Tenants)
-	b.bound()
+	b.endpoints.replicaIndex = s.ReplicaIndex
+	b.replaceClasses(before.Classes)
+	b.quotas.replaceTenants(before.Tenants, b.settings)
+	b.configureEvidence()
 }
 
-// replaceClasses gathers the states of the settings' classes: what is known of those that stay, and fresh ones.
-func (b *Balancer) replaceClasses(old []Class) {
-	before, after := classNames(old), classNames(b.settings.Classes)
+// replaceClasses gathers the states of the settings' classes: those of classes that stay, and fresh ones.
+func (b *Balancer) replaceClasses(before []Class) {
 	var states []*classState
-	for i, from := range matchNames(before, after) {
-		first := firstMean * float64(b.settings.Classes[i].LatencyObjective)
+	for i, from := range matchNames(classNames(before), classNames(b.settings.Classes)) {
+		class := &b.settings.Classes[i]
 		if from < 0 {
-			rule := concurrencyLimit{max: initialLimit}
-			states = append(states, &classState{slot: noSlot, limit: rule, meanLatency: first, unloadedLatency: first})
+			states = append(states, newClassState(class))
 			continue
 		}
-		c := b.classes[from]
-		if c.successes == 0 && old[from].LatencyObjective != b.settings.Classes[i].LatencyObjective { // its times were a guess
-			c.meanLatency, c.unloadedLatency = first, first
+		state := b.classes[from]
+		if state.latency.successes == 0 && before[from].LatencyObjective != class.LatencyObjective {
+			state.latency.guess(class.LatencyObjective)
 		}
-		states = append(states, c)
+		states = append(states, state)
 	}
-	for _, c := range b.classes {
-		if !slices.Contains(states, c) {
-			c.slot = noSlot
+	for _, state := range b.classes {
+		if !slices.Contains(states, state) {
+			state.slot = noSlot
 		}
 	}
 	b.classes = states
-	for _, c := range states {
-		if c.slot == noSlot {
-			b.assignSlot(c)
+	for _, state := range states {
+		if state.slot == noSlot {
+			b.assignSlot(state)
 		}
 	}
 }
 
-// assignSlot gives a new class the lowest place that none has, and drops what servers have there of an earlier one.
-func (b *Balancer) assignSlot(c *classState) {
+// assignSlot gives a new class the lowest free slot, and drops what endpoints have there of an earlier class.
+func (b *Balancer) assignSlot(state *classState) {
 	slot := 0
-	for slices.ContainsFunc(b.classes, func(x *classState) bool { return x.slot == slot }) {
+	for slices.ContainsFunc(b.classes, func(other *classState) bool { return other.slot == slot }) {
 		slot++
 	}
-	c.slot, b.slots = slot, max(b.slots, slot+1)
-	for _, s := range b.all {
-		*s.classHealth(c) = endpointHealth{factor: 1}
-	}
-}
-
-// replaceTenants does the same for tenants.
-func (b *Balancer) replaceTenants(old []Tenant) {
-	before, after := tenantNames(old), tenantNames(b.settings.Tenants)
-	var origins []*tenantQuota
-	b.fairRate = 0
-	for i, from := range matchNames(before, after) {
-		t := &tenantQuota{}
-		if from >= 0 {
-			t = b.tenants[from]
-		}
-		t.fraction = b.settings.Tenants[i].QuotaFraction
-		origins = append(origins, t)
-		// A copy that carries more than its part learns a higher multiple.
-		b.fairRate += b.settings.Tenants[i].RateQuota / float64(b.settings.Replicas)
+	state.slot, b.endpoints.classSlots = slot, max(b.endpoints.classSlots, slot+1)
+	for _, ep := range b.endpoints.all {
+		*ep.classHealth(state) = endpointHealth{factor: 1}
 	}
-	b.tenants = origins
 }
 
 func classNames(classes []Class) (names []string) {
@@ -117,7 +100,8 @@
 	return names
 }
 
-// matchNames tells where each name stood before, -1 if nowhere. Where one is empty, places stand for names.
+// matchNames returns at which index each name stood before, -1 if at none. Where one of two names is empty,
+// indexes identify them.
 func matchNames(before, after []string) []int {
 	from := make([]int, len(after))
 	for i, name := range after {
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -245,17 +245,17 @@
 		t.Fatalf("got %q", h.lines)
 	}
 	mustReconfigure(t, b, s)
-	if c := b.classes[0]; c.limit.inFlight != 0 || c.successes != 0 || c.errorRate != 0 {
+	if c := b.classes[0]; c.limit.inFlight != 0 || c.latency.successes != 0 || c.errorRate != 0 {
 		t.Errorf("a class that came back has %+v", c)
 	}
 	b.HandleOutcome(start+2000, h, Outcome{ID: "r", Attempt: 1, Status: Error, Latency: 1000})
 	b.HandleOutcome(start+3000, h, Outcome{ID: "r", Attempt: 2, Status: OK, Latency: 1000, RequestDone: true})
-	for _, server := range b.all {
+	for _, server := range b.endpoints.all {
 		if left := server.classHealth(b.classes[0]).factor; left != 1 {
 			t.Errorf("the old request's failures left %v of %s to the class that came back", left, server.ID)
 		}
 	}
-	if c := b.classes[0]; c.limit.inFlight != 0 || c.successes != 0 || b.tierLimit.inFlight != 0 || len(b.requests) != 0 {
+	if c := b.classes[0]; c.limit.inFlight != 0 || c.latency.successes != 0 || b.tierLimit.inFlight != 0 || len(b.requests) != 0 {
 		t.Errorf("after the old request's end: %+v, %d in the tier, %d kept", c, b.tierLimit.inFlight, len(b.requests))
 	}
 }
@@ -266,11 +266,11 @@
 	s.Tenants = []Tenant{{QuotaFraction: 0.6, RateQuota: 30}, {QuotaFraction: 0.4, RateQuota: 20}}
 	s = named(s)
 	b, _ := with(t, s, 3)
-	b.tierLimit.max, b.quotaMultiplier, b.crossZoneWeight, b.errorRate = 7.5, 0.6, 0.4, 0.2
-	b.classes[1].limit.max, b.classes[1].meanLatency, b.classes[1].unloadedLatency, b.classes[1].successes = 30, 400_000, 300_000, 9
-	b.byID["s1"].overall.factor, b.byID["s2"].relativeLatency = 0.1, 2
-	b.byID["s0"].classHealth(b.classes[2]).factor, b.byID["s0"].classHealth(b.classes[0]).factor = 0.5, 0.3
-	b.tenants[1].arrivals.add(start)
+	b.tierLimit.max, b.quotas.multiplier, b.zones.crossZoneWeight, b.outliers.errorRate = 7.5, 0.6, 0.4, 0.2
+	b.classes[1].limit.max, b.classes[1].latency.mean, b.classes[1].latency.unloaded, b.classes[1].latency.successes = 30, 400_000, 300_000, 9
+	b.endpoints.byID["s1"].overall.factor, b.endpoints.byID["s2"].relativeLatency = 0.1, 2
+	b.endpoints.byID["s0"].classHealth(b.classes[2]).factor, b.endpoints.byID["s0"].classHealth(b.classes[0]).factor = 0.5, 0.3
+	b.quotas.tenants[1].arrivals.add(start)
 	before := b.ExportState()
 
 	moved := s
@@ -293,8 +293,8 @@
 	if after.Endpoints["s1"].Health != 0.1 || after.Endpoints["s2"].RelativeLatency != 2 {
 		t.Errorf("of the servers: %+v", after.Endpoints)
 	}
-	if b.tenants[0].arrivals.n != 1 || b.tenants[1].arrivals.n != 0 || b.tenants[0].fraction != 0.4 || b.fairRate != 15 {
-		t.Errorf("of the tenants: %+v and %+v, %v together", b.tenants[0], b.tenants[1], b.fairRate)
+	if b.quotas.tenants[0].arrivals.count != 1 || b.quotas.tenants[1].arrivals.count != 0 || b.quotas.tenants[0].fraction != 0.4 || b.quotas.fairRate != 15 {
+		t.Errorf("of the tenants: %+v and %+v, %v together", b.quotas.tenants[0], b.quotas.tenants[1], b.quotas.fairRate)
 	}
 	if b.tierLimit.evidence.minDuration != roundObjectives*800_000 {
 		t.Errorf("a round lasts %d us", b.tierLimit.evidence.minDuration)
@@ -368,7 +368,7 @@
 	if len(h.sends) != 3 {
 		t.Fatalf("before the rest of 100 ms is over: %q", h.lines)
 	}
-	if b.TimerFired(start+101_000, h, resumeKeyToken+"k"); h.sends[len(h.sends)-1].id != "b" {
+	if b.TimerFired(start+101_000, h, timerToken{cooldownTimer, "k"}.String()); h.sends[len(h.sends)-1].id != "b" {
 		t.Errorf("after it: %q", h.lines)
 	}
 }
@@ -380,9 +380,9 @@
 	s.ReplicaIndex = 1
 	fresh, _ := with(t, s, 8)
 	mustReconfigure(t, b, s)
-	for i := range b.ready {
-		if b.ready[i].ID != fresh.ready[i].ID {
-			t.Fatalf("server %d is %s, where a fresh copy has %s", i, b.ready[i].ID, fresh.ready[i].ID)
+	for i := range b.endpoints.ready {
+		if b.endpoints.ready[i].ID != fresh.endpoints.ready[i].ID {
+			t.Fatalf("server %d is %s, where a fresh copy has %s", i, b.endpoints.ready[i].ID, fresh.endpoints.ready[i].ID)
 		}
 	}
 }
--- /dev/null
+++ b/balancer/report.go
@@ -0,0 +1,17 @@
+package balancer
+
+import "fmt"
+
+// reportInterval is the least time between log lines of one replica.
+const reportInterval = 10 * second
+
+// report logs for on-call staff when traffic within the quotas is rejected.
+func (b *Balancer) report(now Microseconds, host Host) {
+	if b.quotas.multiplier >= 1 || now-b.reportedAt < reportInterval && b.reportedAt != 0 {
+		return
+	}
+	b.reportedAt = now
+	host.Log(fmt.Sprintf("tier %d: calls are slow or fail; tenants limited to %.2f of their quotas, "+
+		"%d calls in flight, %.0f%% of calls fail, other zones weigh %.2f", b.settings.Tier, b.quotas.multiplier,
+		b.tierLimit.inFlight, 100*b.outliers.errorRate, b.zones.crossZoneWeight))
+}
--- a/balancer/streamed_test.go
+++ b/balancer/streamed_test.go
@@ -12,7 +12,7 @@
 	}
 	late := start + 10_000_000
 	ask(b, h, late, "other", 0) // looks for slow calls
-	if b.quotaEvidence.bad != 0 {
+	if b.quotas.evidence.bad != 0 {
 		t.Error("the upload counts as slow")
 	}
 	b.RequestUploaded(late, "r", late+1_000_000)
--- a/cmd/simadapter/serve_test.go
+++ b/cmd/simadapter/serve_test.go
@@ -187,7 +187,7 @@
 		`{"membership":{"who":"proxy_1","how":2,"seq_no":1,"roster_id":0}}`)+
 		batch(2_000_000, keyed("aa"), keyed("bb")))
 	all := strings.Join(got, "\n")
-	if strings.Count(all, `"place"`) != 1 || !strings.Contains(all, `"nonce":"held bb"`) {
+	if strings.Count(all, `"place"`) != 1 || !strings.Contains(all, `"nonce":"expire:bb"`) {
 		t.Errorf("got\n%s", all)
 	}
 }
