--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -1,5 +1,5 @@
-// Command scale measures proxies at scale: it runs one experiment at a time on this machine alone, shows the figures with
-// their targets, and stores them as JSON.
+// Command scale measures proxies at scale: it runs one experiment at a time on this machine alone, shows the figures
+// with their targets, and stores them as JSON.
 package main
 
 import (
--- a/cmd/scale/main_test.go
+++ b/cmd/scale/main_test.go
@@ -233,7 +233,8 @@
 	return r.command.ProcessState.ExitCode()
 }
 
-// expectFailure fails unless the command failed with one line of error output that contains the words, and stored no result.
+// expectFailure fails unless the command failed with one line of error output that contains the words, and stored no
+// result.
 func (r *commandRun) expectFailure(words ...string) {
 	r.t.Helper()
 	code := r.wait()
--- a/cmd/scale/source.go
+++ b/cmd/scale/source.go
@@ -19,8 +19,8 @@
 	changedSuffix  = "+changes" // of a commit with uncommitted changes
 )
 
-// findProxy returns the path of the real proxy's program: the given one, else the default in the working folder or at the
-// top of the repository. It is empty if none is given and there is none.
+// findProxy returns the path of the real proxy's program: the given one, else the default in the working folder or at
+// the top of the repository. It is empty if none is given and there is none.
 func findProxy(given string) (string, error) {
 	if given != "" {
 		if !isProgram(given) {
--- a/internal/emulator/backend/attempt.go
+++ b/internal/emulator/backend/attempt.go
@@ -12,8 +12,8 @@
 	"baylock/internal/emulator/hollow"
 )
 
-// timerSlack is how late the end of an attempt's context may be noticed, as with Linux timers. It spreads time-outs that
-// would otherwise fall on one microsecond, where no seed settles in which order proxies hear of them.
+// timerSlack is how late the end of an attempt's context may be noticed, as with Linux timers. It spreads time-outs
+// that would otherwise fall on one microsecond, where no seed settles in which order proxies hear of them.
 const timerSlack = 50 * time.Microsecond
 
 var errProcessEnded = errors.New("the backend's process has ended")
@@ -38,8 +38,8 @@
 	delay           float64       // in parts of the longest delay
 }
 
-// sample draws an attempt's samples. They depend on the seed, the backend, the call and the time alone, so attempts that
-// begin at the same time may do so in any order.
+// sample draws an attempt's samples. They depend on the seed, the backend, the call and the time alone, so attempts
+// that begin at the same time may do so in any order.
 func (s *server) sample(id string) samples {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(s.name + " " + id)) // never fails
--- a/internal/emulator/hollow/hollow.go
+++ b/internal/emulator/hollow/hollow.go
@@ -45,9 +45,9 @@
 
 // Upstream sends attempts to the backends.
 type Upstream interface {
-	// Attempt sends a call to an endpoint and blocks until its outcome. The context ends at the attempt's time-out, which
-	// is call.Deadline, or when the attempt is cancelled; Attempt then returns balancer.Cancelled at once, and the Proxy
-	// tells the two apart. Each Attempt is called on a goroutine of its own.
+	// Attempt sends a call to an endpoint and blocks until its outcome. The context ends at the attempt's time-out,
+	// which is call.Deadline, or when the attempt is cancelled; Attempt then returns balancer.Cancelled at once, and
+	// the Proxy tells the two apart. Each Attempt is called on a goroutine of its own.
 	Attempt(ctx context.Context, endpoint string, call Call) balancer.Status
 }
 
@@ -58,8 +58,8 @@
 	Zones    []string // names; Settings.Zone is an index into them
 	Seed     uint64   // of all random draws
 
-	// Discovery holds the Address and Dial of the discovery service. The other options follow from Settings and Known, as
-	// in the real proxy. Without an Address the Known list stays in force.
+	// Discovery holds the Address and Dial of the discovery service. The other options follow from Settings and
+	// Known, as in the real proxy. Without an Address the Known list stays in force.
 	Discovery discovery.Options
 	Known     *discovery.List // the endpoint list as last known; may be nil
 
--- a/internal/emulator/hollow/loop.go
+++ b/internal/emulator/hollow/loop.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// expiryGrace is the time after a request's deadline within which the balancer answers it. Afterwards the loop fails
-	// it by itself.
+	// expiryGrace is the time after a request's deadline within which the balancer answers it. Afterwards the loop
+	// fails it by itself.
 	expiryGrace = 10 * time.Millisecond
 
 	eventBuffer = 16 // events that do not block their senders
@@ -180,8 +180,8 @@
 	}
 }
 
-// scheduleNextCall sets the timer of the next generated call, if there is a call rate. The interval begins when the last
-// call was due, not when its timer fired, as the rate would otherwise fall short.
+// scheduleNextCall sets the timer of the next generated call, if there is a call rate. The interval begins when the
+// last call was due, not when its timer fired, as the rate would otherwise fall short.
 func (l *loop) scheduleNextCall(last balancer.Microseconds) {
 	if l.cfg.CallRate > 0 {
 		due := last + microtime.FromDuration(l.generator.nextInterval())
--- a/internal/emulator/registry/capacity_test.go
+++ b/internal/emulator/registry/capacity_test.go
@@ -17,7 +17,8 @@
 	took    time.Duration
 }
 
-// concurrentRequests makes requests one after the other at one time, and returns their results in order of the responses.
+// concurrentRequests makes requests one after the other at one time, and returns their results in order of the
+// responses.
 func concurrentRequests(t *testing.T, s *Service, number int, query string) []requestResult {
 	t.Helper()
 	c := newTestClient(s.Dialer(testList, eastClient))
--- a/internal/emulator/registry/faults.go
+++ b/internal/emulator/registry/faults.go
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// Restart starts a replica that was killed, with a new log. It has its stored changes and those of the live replicas that
-// it reaches.
+// Restart starts a replica that was killed, with a new log. It has its stored changes and those of the live replicas
+// that it reaches.
 func (s *Service) Restart(name string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/registry/faults_test.go
+++ b/internal/emulator/registry/faults_test.go
@@ -253,8 +253,8 @@
 	})
 }
 
-// During the partition each region has its own changes; afterwards both have all, and of two changes of one endpoint the
-// later.
+// During the partition each region has its own changes; afterwards both have all, and of two changes of one endpoint
+// the later.
 func TestPartitionedRegionsConvergeAfterHeal(t *testing.T) {
 	runInBothModes(t, func(t *testing.T, poll bool) {
 		s := startService(t, testConfig(poll))
--- a/internal/emulator/registry/handler.go
+++ b/internal/emulator/registry/handler.go
@@ -99,8 +99,9 @@
 // wakeups are the events that may bring a response to a pending request, besides its deadline.
 type wakeups struct{ listChanged, topologyChanged <-chan struct{} }
 
-// waitForResponse returns the response to a request once there is one: a snapshot if the log does not cover its version,
-// the changes since then, or no changes at the end of its hold time. It returns nil if the request gets no response.
+// waitForResponse returns the response to a request once there is one: a snapshot if the log does not cover its
+// version, the changes since then, or no changes at the end of its hold time. It returns nil if the request gets no
+// response.
 func (s *Service) waitForResponse(ctx context.Context, c *conn, request listRequest) []byte {
 	pending := &pendingRequest{listRequest: request, deadline: time.Now().Add(request.holdTime)}
 	holdTimer := time.NewTimer(request.holdTime)
--- a/internal/emulator/registry/memberlist.go
+++ b/internal/emulator/registry/memberlist.go
@@ -8,8 +8,8 @@
 	"baylock/internal/discovery"
 )
 
-// A version is the epoch of a replica's start and, in its low bits, the sequence number of the list's last log entry. Both
-// fit the 53 bits that every reader of JSON keeps.
+// A version is the epoch of a replica's start and, in its low bits, the sequence number of the list's last log entry.
+// Both fit the 53 bits that every reader of JSON keeps.
 const sequenceBits = 32
 
 // record is the last change of an endpoint that a replica has. One of status Deleted is a tombstone.
@@ -170,7 +170,8 @@
 	return l.snapshot
 }
 
-// encodeChanges returns the endpoints that changed since a version that the log covers, each as it is now, in wire format.
+// encodeChanges returns the endpoints that changed since a version that the log covers, each as it is now, in wire
+// format.
 func (l *memberList) encodeChanges(from int64) []byte {
 	if l.encodedChanges == nil || l.changesFrom != from {
 		list := &discovery.List{Index: l.version(), Endpoints: l.changedSince(from)}
--- a/internal/emulator/registry/service.go
+++ b/internal/emulator/registry/service.go
@@ -59,7 +59,8 @@
 	QueueLimit       time.Duration // with Poll: a request that would wait longer is rejected; 0: 1 s
 	LogLimit         int           // entries of a replica's log of one list; 0: 1024
 	Random           *rand.Rand    // of all random draws; the service alone may use it from now on
-	// OnRequest is called for each valid request when it arrives, by many goroutines. It must not call Close, and may be nil.
+	// OnRequest is called for each valid request when it arrives, by many goroutines. It must not call Close, and may
+	// be nil.
 	OnRequest func(Observation)
 }
 
@@ -109,8 +110,13 @@
 	if config.LogLimit == 0 {
 		config.LogLimit = defaultLogLimit
 	}
-	s := &Service{config: config, memoryListener: newMemoryListener(), closed: make(chan struct{}), topologyChanged: make(chan struct{})}
-	s.faults.cutZones = map[string]bool{}
+	s := &Service{
+		config:          config,
+		memoryListener:  newMemoryListener(),
+		closed:          make(chan struct{}),
+		faults:          faults{cutZones: map[string]bool{}},
+		topologyChanged: make(chan struct{}),
+	}
 	for _, c := range config.Replicas {
 		s.lastEpoch++
 		s.replicas = append(s.replicas, newReplica(c, s.lastEpoch, config.LogLimit))
--- a/internal/emulator/registry/usage.go
+++ b/internal/emulator/registry/usage.go
@@ -15,8 +15,8 @@
 	PeakBytes          int64 // in and out, in the busiest second
 }
 
-// Usage returns the usage of each replica since the previous call of Usage. Where the list is pushed, an agent's requests
-// and bytes count for the replica that it follows. A call within a second divides that second's counts.
+// Usage returns the usage of each replica since the previous call of Usage. Where the list is pushed, an agent's
+// requests and bytes count for the replica that it follows. A call within a second divides that second's counts.
 func (s *Service) Usage() []ReplicaUsage {
 	usages := make([]ReplicaUsage, 0, len(s.replicas))
 	for _, r := range s.replicas {
--- a/internal/scale/admission/admission_test.go
+++ b/internal/scale/admission/admission_test.go
@@ -14,7 +14,7 @@
 func TestMain(m *testing.M) { os.Exit(scaletest.MainInMemory(m)) }
 
 // The figures of faults and of the overload itself are close to their targets, so the limit here is twice the target.
-func TestExperiment(t *testing.T) {
+func TestRunStaysWithinTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		result, err := Experiment.Run(t.Context(), scaletest.EnvInMemory(testSeed))
 		if err != nil {
@@ -34,34 +34,36 @@
 	})
 }
 
-func TestSameSeedSameAnswers(t *testing.T) {
-	var seen [2]tally
-	for i := range seen {
+func TestScenarioWithSameSeedRepeatsResults(t *testing.T) {
+	var results [2]tally
+	for i := range results {
 		synctest.Test(t, func(t *testing.T) {
 			var err error
-			if seen[i], err = measure(t.Context(), smallSize, scenarios[1], testSeed); err != nil {
+			if results[i], err = measure(t.Context(), smallSize, scenarios[1], testSeed); err != nil {
 				t.Fatal(err)
 			}
 		})
 	}
-	if seen[0] != seen[1] {
-		t.Errorf("two plays of one seed differ: %+v, %+v", seen[0], seen[1])
+	if results[0] != results[1] {
+		t.Errorf("two runs with one seed differ: %+v, %+v", results[0], results[1])
 	}
 }
 
-func TestMissedTargetsAreShown(t *testing.T) {
-	seen := tally{served: 10, rejectedUnsent: 30, others: 60}
+func TestFiguresShowMissedTargets(t *testing.T) {
+	counted := tally{served: 10, rejectedUnsent: 30, others: 60}
 	for _, c := range scenarios {
-		missed := 0
-		for _, f := range figures(fullSize, c, seen) {
-			if !f.MeetsTarget() {
-				missed++
+		t.Run(c.name, func(t *testing.T) {
+			missed := 0
+			for _, f := range figures(fullSize, c, counted) {
+				if !f.MeetsTarget() {
+					missed++
+				}
 			}
-		}
-		if missed != 1 {
-			t.Errorf("%s: %d figures miss their targets, want 1", c.name, missed)
-		}
+			if missed != 1 {
+				t.Errorf("%d figures miss their targets, want 1", missed)
+			}
+		})
 	}
 }
 
-func TestEndOfContext(t *testing.T) { scaletest.CheckEndOfContext(t, Experiment, testSeed) }
+func TestRunEndsWithContext(t *testing.T) { scaletest.CheckEndOfContext(t, Experiment, testSeed) }
--- a/internal/scale/affinity.go
+++ b/internal/scale/affinity.go
@@ -75,8 +75,8 @@
 	return mask.cores(), err
 }
 
-// pacingGoroutines is the number of goroutines that may occupy a processor of the scheduler while they sleep in the kernel,
-// as load generators do.
+// pacingGoroutines is the number of goroutines that may occupy a processor of the scheduler while they sleep in the
+// kernel, as load generators do.
 const pacingGoroutines = 2
 
 // RunOn restricts every thread of the tool to the given cores.
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// WithSeparateCores calls measure with the last of the cores, for the proxies, while the tool is restricted to the others.
-// With one core they share it. The tool may use all of the cores again when WithSeparateCores returns.
+// WithSeparateCores calls measure with the last of the cores, for the proxies, while the tool is restricted to the
+// others. With one core they share it. The tool may use all of the cores again when WithSeparateCores returns.
 func WithSeparateCores(cores []int, measure func(forProxies []int) (Result, error)) (result Result, err error) {
 	if len(cores) < 2 {
 		return measure(cores)
--- a/internal/scale/budget.go
+++ b/internal/scale/budget.go
@@ -23,8 +23,8 @@
 // Error names the limit.
 func (e *LimitError) Error() string { return "the run has exceeded its limit: " + e.Limit }
 
-// Budget limits the processes of a run and the memory of them all. It keeps track of each process, so that none outlives
-// the run.
+// Budget limits the processes of a run and the memory of them all. It keeps track of each process, so that none
+// outlives the run.
 type Budget struct {
 	mu           sync.Mutex // guards all below
 	processes    int
@@ -121,7 +121,8 @@
 	return total, nil
 }
 
-// WatchMemory checks the memory of the run until the context ends. Its error is a *LimitError once it is over the limit.
+// WatchMemory checks the memory of the run until the context ends. Its error is a *LimitError once it is over the
+// limit.
 func (b *Budget) WatchMemory(ctx context.Context) error {
 	tick := time.NewTicker(memoryCheckInterval)
 	defer tick.Stop()
--- a/internal/scale/depth/chain.go
+++ b/internal/scale/depth/chain.go
@@ -32,20 +32,42 @@
 var classNames = []string{idempotentClass: "safe", keyedClass: "keyed", nonIdempotentClass: "unsafe"}
 
 var classes = []balancer.Class{
-	idempotentClass:    {LatencyObjective: 300_000, Deadline: 1_000_000, PriorityWeight: 1, LateFraction: 0.25, Idempotency: balancer.Idempotent},
-	keyedClass:         {LatencyObjective: 300_000, Deadline: 1_000_000, PriorityWeight: 1, LateFraction: 0.25, Idempotency: balancer.IdempotentWithKey, DedupWindow: 2_000_000},
-	nonIdempotentClass: {LatencyObjective: 300_000, Deadline: 1_000_000, PriorityWeight: 1, LateFraction: 0.25, Idempotency: balancer.NotIdempotent},
+	idempotentClass:    newClass(balancer.Idempotent, 0),
+	keyedClass:         newClass(balancer.IdempotentWithKey, 2_000_000),
+	nonIdempotentClass: newClass(balancer.NotIdempotent, 0),
+}
+
+func newClass(idempotency balancer.Idempotency, dedupWindow balancer.Microseconds) balancer.Class {
+	return balancer.Class{
+		LatencyObjective: 300_000,
+		Deadline:         1_000_000,
+		PriorityWeight:   1,
+		LateFraction:     0.25,
+		Idempotency:      idempotency,
+		DedupWindow:      dedupWindow,
+	}
 }
 
 // settings returns the settings of a proxy. No retry budget is stated, so the balancer's own applies.
-func settings(stage, siblings, ordinal int) balancer.Settings {
-	return balancer.Settings{Tier: stage, Replicas: siblings, ReplicaIndex: ordinal, Zone: ordinal % len(zones), Zones: len(zones),
-		Classes: classes, MaxAttempts: 4, MaxRetryAfter: 2_000_000, DrainGrace: 300_000,
-		SlowStartCapacity: 0.3, SlowStartOverload: 3, SlowStartDuration: 8_000_000}
+func settings(tier, replicas, replicaIndex int) balancer.Settings {
+	return balancer.Settings{
+		Tier:              tier,
+		Replicas:          replicas,
+		ReplicaIndex:      replicaIndex,
+		Zone:              replicaIndex % len(zones),
+		Zones:             len(zones),
+		Classes:           classes,
+		MaxAttempts:       4,
+		MaxRetryAfter:     2_000_000,
+		DrainGrace:        300_000,
+		SlowStartCapacity: 0.3,
+		SlowStartOverload: 3,
+		SlowStartDuration: 8_000_000,
+	}
 }
 
-// chain is a sequence of tiers of backends, with proxies in front of the first tier and one at each backend, except those
-// of the last tier.
+// chain is a sequence of tiers of backends, with proxies in front of the first tier and one at each backend, except
+// those of the last tier.
 type chain struct {
 	tiers        []*backend.Tier
 	frontProxies []*hollow.Proxy
@@ -56,29 +78,36 @@
 	seeds := rand.New(rand.NewPCG(seed, 0))
 	c := &chain{}
 	for number := 1; number <= s.tiers; number++ {
-		tier, err := backend.New(backend.Config{Names: backendNames(number, s.backends), Classes: classes, Work: work,
-			Latency: latency, Workers: workers, Queue: queue, Seed: seeds.Uint64()})
+		tier, err := backend.New(backend.Config{
+			Names:   backendNames(number, s.backends),
+			Classes: classes,
+			Work:    work,
+			Latency: latency,
+			Workers: workers,
+			Queue:   queue,
+			Seed:    seeds.Uint64(),
+		})
 		if err != nil {
 			return nil, err
 		}
 		c.tiers = append(c.tiers, tier)
 	}
-	for stage, tier := range c.tiers {
+	for index, tier := range c.tiers {
 		senders := s.frontProxies
-		if stage > 0 {
+		if index > 0 {
 			senders = s.backends
 		}
-		proxies, err := newProxies(stage, senders, s.backends, tier, seeds)
+		proxies, err := newProxies(index, senders, s.backends, tier, seeds)
 		if err != nil {
 			return nil, err
 		}
 		c.proxies = append(c.proxies, proxies...)
-		if stage == 0 {
+		if index == 0 {
 			c.frontProxies = proxies
 			continue
 		}
-		for i, name := range backendNames(stage, s.backends) {
-			if err := c.tiers[stage-1].Connect(name, proxies[i]); err != nil {
+		for i, name := range backendNames(index, s.backends) {
+			if err := c.tiers[index-1].Connect(name, proxies[i]); err != nil {
 				return nil, err
 			}
 		}
@@ -87,12 +116,18 @@
 }
 
 // newProxies returns the proxies that send to a tier, and know its backends from the start.
-func newProxies(stage, senders, backends int, tier *backend.Tier, seeds *rand.Rand) ([]*hollow.Proxy, error) {
-	known := tierList(stage+1, backends)
+func newProxies(index, senders, backends int, tier *backend.Tier, seeds *rand.Rand) ([]*hollow.Proxy, error) {
+	known := tierList(index+1, backends)
 	var proxies []*hollow.Proxy
 	for i := range senders {
-		p, err := hollow.New(hollow.Config{Name: fmt.Sprintf("proxy-%d-%d", stage, i), Settings: settings(stage, senders, i),
-			Zones: zones, Seed: seeds.Uint64(), Known: known, Upstream: tier})
+		p, err := hollow.New(hollow.Config{
+			Name:     fmt.Sprintf("proxy-%d-%d", index, i),
+			Settings: settings(index, senders, i),
+			Zones:    zones,
+			Seed:     seeds.Uint64(),
+			Known:    known,
+			Upstream: tier,
+		})
 		if err != nil {
 			return nil, err
 		}
--- a/internal/scale/depth/depth.go
+++ b/internal/scale/depth/depth.go
@@ -1,5 +1,5 @@
-// Package depth measures how many attempts arrive at the deepest of 13 tiers for each call of a user, and how many calls
-// are served, while that tier fails or stalls.
+// Package depth measures how many attempts arrive at the deepest of 13 tiers for each call of a user, and how many
+// calls are served, while that tier fails or stalls.
 package depth
 
 import (
@@ -18,8 +18,8 @@
 	Run:     run,
 }
 
-// maxAmplification is the target for attempts at the deepest tier for each attempt at the first: a tenth more at each of
-// 12 steps, 1.1^12.
+// maxAmplification is the target for attempts at the deepest tier for each attempt at the first: a tenth more at each
+// of 12 steps, 1.1^12.
 const maxAmplification = 3.14
 
 var (
@@ -68,7 +68,8 @@
 		sum := summarize(sized, r)
 		result.Figures = append(result.Figures, figures(t, sum)...)
 		if !sum.recovered {
-			result.Notes = append(result.Notes, fmt.Sprintf("%s: not recovered within the %v that were watched.", t.name, sum.recovery))
+			result.Notes = append(result.Notes, fmt.Sprintf("%s: not recovered within %v.", t.name,
+				sum.recovery))
 		}
 	}
 	return result, nil
@@ -77,15 +78,17 @@
 func notes(s size) []string {
 	return []string{
 		fmt.Sprintf("%d tiers of %d backends, each with a proxy of its own for the next tier, behind %d front proxies; "+
-			"%.0f calls of users a second (Poisson), %.0f%% safe, %.0f%% keyed, the others unsafe; users do not come again.",
+			"%.0f calls of users a second (Poisson), %.0f%% idempotent (safe), %.0f%% with an idempotency key (keyed), the "+
+			"others not idempotent (unsafe); users do not retry.",
 			s.tiers, s.backends, s.frontProxies, s.rate, 100*idempotentRatio, 100*keyedRatio),
-		fmt.Sprintf("A backend works %v for a call on the mean, the network takes %v each way, and it has %d workers and %d places "+
-			"in its queue; calls have a second, of which what remains is told to the next tier.", work, latency, workers, queue),
-		fmt.Sprintf("%v without trouble, %v with it, %v after it or %v where no call could be served; the parts and attempts are those of the "+
-			"time of the trouble.", s.settle, s.fault, s.recovery, s.longRecovery),
-		"In real time a short wait lasts up to a millisecond longer, so that one step takes longer than its means say.",
-		"Retry budgets are the module's own: at each proxy, 5 and a tenth of the calls that it took, over 10 s. The target is " +
-			"1.1^12, what that tenth alone makes of 12 steps; a proxy may use the budget of 10 s in one.",
+		fmt.Sprintf("A backend has a mean service time of %v, %d workers and a queue of %d; the mean network latency is %v each "+
+			"way. Calls have a deadline of a second, and the next tier gets the time that remains.",
+			work, workers, queue, latency),
+		fmt.Sprintf("%v without fault, %v with it, %v after it, or %v where no call could be served; the fractions and attempts "+
+			"are those of the time of the fault.", s.settle, s.fault, s.recovery, s.longRecovery),
+		"In real time a short wait lasts up to a millisecond longer, so that a step takes longer than its means.",
+		"Retry budgets are the balancer's own: at each proxy, 5 and a tenth of its calls, over 10 s. The target is 1.1^12, " +
+			"the effect of that tenth alone over 12 steps; a proxy may use the budget of 10 s in one second.",
 	}
 }
 
@@ -96,10 +99,11 @@
 		list = append(list, scale.Figure{Case: t.name, Quantity: quantity, Unit: unit, Value: value, Target: target,
 			Source: scale.HollowProxy, Samples: s.calls})
 	}
-	add("attempts at the deepest tier for a call, mean", "attempts", s.perTier[len(s.perTier)-1], scale.Target(maxAmplification))
-	add("attempts at the deepest tier for a call, worst second", "attempts", s.worstSecond, scale.Target(maxAmplification))
-	add("attempts at the deepest tier for one at the first, mean", "attempts", s.amplification, scale.Target(maxAmplification))
-	add("the same in the second half of the trouble", "attempts", s.lateAmplification, scale.Target(maxAmplification))
+	target := scale.Target(maxAmplification)
+	add("attempts at the deepest tier for a call, mean", "attempts", s.perTier[len(s.perTier)-1], target)
+	add("attempts at the deepest tier for a call, worst second", "attempts", s.worstSecond, target)
+	add("attempts at the deepest tier for one at the first, mean", "attempts", s.amplification, target)
+	add("the same in the second half of the trouble", "attempts", s.lateAmplification, target)
 	for class, name := range classNames {
 		add("attempts at the deepest tier for a "+name+" call", "attempts", s.perClass[class], nil)
 	}
--- a/internal/scale/depth/depth_test.go
+++ b/internal/scale/depth/depth_test.go
@@ -34,7 +34,7 @@
 	return r
 }
 
-func TestWithoutTrouble(t *testing.T) {
+func TestChainWithoutFaultServesAllCalls(t *testing.T) {
 	r := simulateOnce(t, testSize, backend.Faults{})
 	sum := summarize(testSize, r)
 	if sum.served < 0.99 || !sum.recovered || sum.recovery != 0 {
@@ -47,35 +47,35 @@
 	}
 }
 
-func TestFailuresOfTheDeepestTier(t *testing.T) {
+func TestChainWithFailingTierStaysWithinRetryBudgets(t *testing.T) {
 	faults := backend.Faults{ErrorRatio: 1}
 	r := simulateOnce(t, testSize, faults)
 	checkBudgets(t, testSize, r)
 	sum := summarize(testSize, r)
 	if sum.served > 0.05 {
-		t.Errorf("%.3f of the calls were answered, though the deepest tier fails", sum.served)
+		t.Errorf("%.3f of the calls were served, though the deepest tier fails", sum.served)
 	}
 	if sum.amplification < 1.5 {
-		t.Errorf("%.2f attempts at the deepest tier for one at the first: hardly any call is repeated", sum.amplification)
+		t.Errorf("%.2f attempts at the deepest tier for one at the first: hardly any retries", sum.amplification)
 	}
 	if again := simulateOnce(t, testSize, faults); !reflect.DeepEqual(r, again) {
-		t.Errorf("two plays of one seed differ:\n%+v\n%+v", sum, summarize(testSize, again))
+		t.Errorf("two runs with one seed differ:\n%+v\n%+v", sum, summarize(testSize, again))
 	}
 }
 
-func TestStallsOfTheDeepestTier(t *testing.T) {
+func TestChainWithStalledTierStaysWithinRetryBudgets(t *testing.T) {
 	faults := backend.Faults{StallRatio: 1}
 	r := simulateOnce(t, testSize, faults)
 	checkBudgets(t, testSize, r)
 	sum := summarize(testSize, r)
 	if sum.served > 0.05 {
-		t.Errorf("%.3f of the calls were answered, though the deepest tier stalls", sum.served)
+		t.Errorf("%.3f of the calls were served, though the deepest tier stalls", sum.served)
 	}
 	if r.counts[len(r.counts)-1].Cancelled == 0 {
-		t.Error("no attempt at the deepest tier was given up")
+		t.Error("no attempt at the deepest tier was cancelled")
 	}
 	if again := simulateOnce(t, testSize, faults); !reflect.DeepEqual(r, again) {
-		t.Errorf("two plays of one seed differ:\n%+v\n%+v", sum, summarize(testSize, again))
+		t.Errorf("two runs with one seed differ:\n%+v\n%+v", sum, summarize(testSize, again))
 	}
 }
 
@@ -84,36 +84,36 @@
 func checkBudgets(t *testing.T, s size, r *recording) {
 	t.Helper()
 	const (
-		share = 0.1
-		free  = 5
-		span  = 10 * time.Second
+		ratio   = 0.1
+		minimum = 5
+		window  = 10 * time.Second
 	)
 	longest := s.end() + classes[idempotentClass].Deadline.Duration()
-	spans := math.Ceil(longest.Seconds() / span.Seconds())
-	taken, senders := float64(len(r.calls)), s.frontProxies
+	windows := math.Ceil(longest.Seconds() / window.Seconds())
+	calls, senders := float64(len(r.calls)), s.frontProxies
 	for i, c := range r.counts {
-		most := (1+share)*taken + free*spans*float64(senders)
-		if got := float64(c.Arrivals); got > most {
-			t.Errorf("tier %d got %v attempts; the budgets allow %v for the %v calls before it", i+1, got, most, taken)
+		limit := (1+ratio)*calls + minimum*windows*float64(senders)
+		if got := float64(c.Arrivals); got > limit {
+			t.Errorf("tier %d got %v attempts; the budgets allow %v for the %v calls before it", i+1, got, limit, calls)
 		}
 		if c.ForbiddenRuns != 0 {
 			t.Errorf("tier %d ran %d calls again though their class forbids it", i+1, c.ForbiddenRuns)
 		}
-		taken, senders = float64(c.Arrivals), s.backends
+		calls, senders = float64(c.Arrivals), s.backends
 	}
-	unsafeCalls := int64(0)
+	nonIdempotentCalls := int64(0)
 	for _, u := range r.calls {
 		if u.class == nonIdempotentClass {
-			unsafeCalls++
+			nonIdempotentCalls++
 		}
 	}
 	deepest := r.counts[len(r.counts)-1]
-	if got := deepest.ArrivalsByClass[nonIdempotentClass]; got > unsafeCalls { // no queue was full
-		t.Errorf("%d unsafe attempts at the deepest tier for %d calls", got, unsafeCalls)
+	if got := deepest.ArrivalsByClass[nonIdempotentClass]; got > nonIdempotentCalls { // no queue was full
+		t.Errorf("%d attempts of non-idempotent calls at the deepest tier for %d calls", got, nonIdempotentCalls)
 	}
 }
 
-func TestExperiment(t *testing.T) {
+func TestRunGivesFiguresOfEveryTier(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		result, err := Experiment.Run(t.Context(), scaletest.EnvInMemory(testSeed))
 		if err != nil {
@@ -128,7 +128,7 @@
 	})
 }
 
-func TestEndOfContext(t *testing.T) { scaletest.CheckEndOfContext(t, Experiment, testSeed) }
+func TestRunEndsWithContext(t *testing.T) { scaletest.CheckEndOfContext(t, Experiment, testSeed) }
 
 // callsEvery returns calls with one outcome.
 func callsEvery(gap, from, to time.Duration, outcome hollow.Outcome) (calls []*userCall) {
@@ -138,26 +138,29 @@
 	return calls
 }
 
-func TestRecovery(t *testing.T) {
-	const end, watched = 5 * time.Second, 10 * time.Second
-	for name, c := range map[string]struct {
+func TestRecordingRecoveryTime(t *testing.T) {
+	const end, recorded = 5 * time.Second, 10 * time.Second
+	for _, test := range []struct {
+		name      string
 		failing   time.Duration // time after the fault until calls are served
 		recovered bool
 		after     time.Duration
 	}{
-		"at once":  {0, true, 0},
-		"later":    {1500 * time.Millisecond, true, 1500 * time.Millisecond},
-		"too late": {4500 * time.Millisecond, false, 5 * time.Second},
+		{"at once", 0, true, 0},
+		{"later", 1500 * time.Millisecond, true, 1500 * time.Millisecond},
+		{"too late", 4500 * time.Millisecond, false, 5 * time.Second},
 	} {
-		r := &recording{calls: callsEvery(10*time.Millisecond, 0, end+c.failing, hollow.Rejected)}
-		r.calls = append(r.calls, callsEvery(10*time.Millisecond, end+c.failing, watched, hollow.Served)...)
-		if ok, after := r.recovery(end, watched); ok != c.recovered || after != c.after {
-			t.Errorf("%s: recovered %v after %v", name, ok, after)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			r := &recording{calls: callsEvery(10*time.Millisecond, 0, end+test.failing, hollow.Rejected)}
+			r.calls = append(r.calls, callsEvery(10*time.Millisecond, end+test.failing, recorded, hollow.Served)...)
+			if recovered, after := r.recovery(end, recorded); recovered != test.recovered || after != test.after {
+				t.Errorf("recovered %v after %v, want %v after %v", recovered, after, test.recovered, test.after)
+			}
+		})
 	}
 }
 
-func TestSummary(t *testing.T) {
+func TestSummarizeRecording(t *testing.T) {
 	s := size{settle: time.Second, fault: 2 * time.Second, recovery: time.Second}
 	r := &recording{
 		calls: append(callsEvery(100*time.Millisecond, 0, 2*time.Second, hollow.Served),
--- a/internal/scale/depth/simulation.go
+++ b/internal/scale/depth/simulation.go
@@ -11,6 +11,7 @@
 
 	"baylock/internal/emulator/backend"
 	"baylock/internal/emulator/hollow"
+	"baylock/internal/timing"
 )
 
 // size is the size and load of a chain, and the duration of a simulation's parts in whole seconds.
@@ -84,7 +85,7 @@
 	stop()
 	proxies.Wait()
 	if err != nil {
-		return nil, fmt.Errorf("play a chain: %w", err)
+		return nil, fmt.Errorf("simulate a chain: %w", err)
 	}
 	for _, t := range c.tiers {
 		p.recording.counts = append(p.recording.counts, t.Counts())
@@ -120,13 +121,7 @@
 
 // waitUntil waits until a time since the start. It returns an error if the context has ended.
 func (p *simulation) waitUntil(ctx context.Context, at time.Duration) error {
-	timer := time.NewTimer(time.Until(p.start.Add(at)))
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-	case <-ctx.Done():
-	}
-	return ctx.Err()
+	return timing.Wait(ctx, time.Until(p.start.Add(at)))
 }
 
 // updateFaults begins or ends the faults when it is time to.
--- a/internal/scale/depth/summary.go
+++ b/internal/scale/depth/summary.go
@@ -46,17 +46,18 @@
 
 func (s *summary) countCalls(calls []*userCall) {
 	s.calls = len(calls)
-	inTime, refused := 0, 0
+	inTime, rejected := 0, 0
 	for _, u := range calls {
 		if u.inTime {
 			inTime++
 		} else if u.outcome == hollow.Rejected {
-			refused++
+			rejected++
 		}
 	}
-	whole := float64(max(1, len(calls)))
-	s.served, s.rejected = float64(inTime)/whole, float64(refused)/whole
-	s.failed = float64(len(calls)-inTime-refused) / whole
+	total := float64(max(1, len(calls)))
+	s.served = float64(inTime) / total
+	s.rejected = float64(rejected) / total
+	s.failed = float64(len(calls)-inTime-rejected) / total
 }
 
 func (s *summary) countAttempts(r *recording, from, to time.Duration) {
@@ -70,7 +71,8 @@
 		byClass[u.class]++
 	}
 	for class, n := range byClass {
-		s.perClass = append(s.perClass, float64(last.arrivalsByClass[class]-first.arrivalsByClass[class])/float64(max(1, n)))
+		attempts := last.arrivalsByClass[class] - first.arrivalsByClass[class]
+		s.perClass = append(s.perClass, float64(attempts)/float64(max(1, n)))
 	}
 	s.worstSecond = r.worstSecond(from, to)
 	s.amplification = amplification(first, last)
@@ -108,7 +110,8 @@
 	return worst
 }
 
-// recovery returns when, after the end of the fault, a window begins in which recoveredRatio of the calls are served in time.
+// recovery returns when, after the end of the fault, a window begins in which recoveredRatio of the calls are served
+// in time.
 func (r *recording) recovery(end, watched time.Duration) (recovered bool, after time.Duration) {
 	for from := end; from+recoveryWindow <= watched; from += recoveryStep {
 		calls := r.between(from, from+recoveryWindow)
--- a/internal/scale/experiment.go
+++ b/internal/scale/experiment.go
@@ -1,5 +1,5 @@
-// Package scale is the framework of the scale tool: the interface of experiments, the processes that they start, and the
-// format of their results. The experiments are in the folders below it, one each; cmd/scale is the command.
+// Package scale is the framework of the scale tool: the interface of experiments, the processes that they start, and
+// the format of their results. The experiments are in the folders below it, one each; cmd/scale is the command.
 package scale
 
 import (
--- a/internal/scale/latency/figures.go
+++ b/internal/scale/latency/figures.go
@@ -43,7 +43,8 @@
 		scale.Figure{Case: s.name(), Quantity: "calls not served, through", Unit: "calls",
 			Value: float64(m.through.failed), Source: scale.RealProxy},
 		scale.Figure{Case: s.name(), Quantity: "lateness of the load generator, p99", Unit: "ms", Source: scale.Emulator,
-			Value: toMilliseconds(m.through.lateness.ValueAtPercentile(99)), Samples: int(m.through.lateness.TotalCount())},
+			Value:   toMilliseconds(m.through.lateness.ValueAtPercentile(99)),
+			Samples: int(m.through.lateness.TotalCount())},
 	)
 }
 
--- a/internal/scale/latency/latency.go
+++ b/internal/scale/latency/latency.go
@@ -1,5 +1,5 @@
-// Package latency measures the latency that real proxies add to calls: one proxy at several rates, and a chain of proxies.
-// Direct calls and calls through the proxies alternate within one run.
+// Package latency measures the latency that real proxies add to calls: one proxy at several rates, and a chain of
+// proxies. Direct calls and calls through the proxies alternate within one run.
 package latency
 
 import (
@@ -66,7 +66,9 @@
 		p = smallPlan()
 	}
 	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
-	return scale.WithSeparateCores(env.Cores, func(cores []int) (scale.Result, error) { return measureOn(ctx, env, p, cores) })
+	return scale.WithSeparateCores(env.Cores, func(cores []int) (scale.Result, error) {
+		return measureOn(ctx, env, p, cores)
+	})
 }
 
 // measureOn measures with the proxies on the given cores.
@@ -84,8 +86,8 @@
 		} else if one := alone[s.rate]; one != nil {
 			result.Figures = append(result.Figures, s.multiple(one))
 		}
-		if failure := measured.through.firstError; failure != nil {
-			result.Notes = append(result.Notes, fmt.Sprintf("%s: the first call not served: %v.", s.name(), failure))
+		if err := measured.through.firstError; err != nil {
+			result.Notes = append(result.Notes, fmt.Sprintf("%s: the first call not served: %v.", s.name(), err))
 		}
 	}
 	result.Notes = append(notes(p, cores, env.Cores), result.Notes...)
@@ -94,20 +96,19 @@
 
 func notes(p plan, proxyCores, allCores []int) []string {
 	list := []string{
-		fmt.Sprintf("All proxies, each told of 1 core, ran on core %v; the tool with its clients and backends on the others "+
-			"of %v. The proxies of the chain share that one core, so their waits for it are in its figures; each would "+
-			"have a core of its own.", proxyCores, allCores),
-		fmt.Sprintf("Open loop, Poisson arrivals; time counts from the intended instant of a call to its last byte. Blocks "+
-			"of %v directly and through the proxies took turns, with the same arrivals, after %v of calls each way.",
+		fmt.Sprintf("All proxies, each with a limit of 1 core, ran on core %v; the tool with its clients and backends on the "+
+			"others of %v. The proxies of the chain shared one core, so their waits for it are in its figures.",
+			proxyCores, allCores),
+		fmt.Sprintf("Open loop, Poisson arrivals; latency counts from the intended start of a call to its last byte. Blocks "+
+			"of %v of direct calls and of calls through the proxies alternated, with the same arrivals, after %v of each.",
 			p.block, p.warmUp),
-		"Added, by percentiles: that of the calls through less the same one of the direct calls. Added to the median: the " +
-			"percentile of the calls through less the median of the direct calls, which puts all noise of the machine down " +
-			"to the proxy.",
-		fmt.Sprintf("Each list has %d names, all with the address of one server in the tool; in the chain it calls through "+
-			"the next tier's proxy, or directly the next tier's server, before it answers.", p.listSize),
+		"Added, by percentiles: the percentile through the proxies less that of the direct calls. Added to the median: the " +
+			"percentile through the proxies less the median of the direct calls, which includes all noise of the machine.",
+		fmt.Sprintf("Each list has %d endpoints, all with the address of one server in the tool; in the chain it calls the "+
+			"next tier's proxy, or directly the next tier's server, before it responds.", p.listSize),
 	}
 	if len(allCores) < 2 {
-		list = append(list, "With one core the tool and the proxies shared it: the figures are disturbed.")
+		list = append(list, "The tool and the proxies shared one core, which affects the figures.")
 	}
 	return list
 }
--- a/internal/scale/latency/latency_test.go
+++ b/internal/scale/latency/latency_test.go
@@ -30,7 +30,7 @@
 	return total
 }
 
-func TestEveryCallIsCounted(t *testing.T) {
+func TestMeasureStageCountsEveryCall(t *testing.T) {
 	p := smallPlan()
 	for _, s := range []stage{{1, 50, 2}, {3, 20, 2}} {
 		env := scaletest.Env(t)
@@ -48,12 +48,12 @@
 			t.Errorf("%s: the proxies used %v cores", s.name(), measured.proxyCores)
 		}
 		if env.Budget.Processes() != 0 {
-			t.Errorf("%s: %d processes are left", s.name(), env.Budget.Processes())
+			t.Errorf("%s: %d processes still run", s.name(), env.Budget.Processes())
 		}
 	}
 }
 
-func TestCallsPassEveryProxy(t *testing.T) {
+func TestProxiedChainCallsPassEveryProxy(t *testing.T) {
 	const depth = 3
 	b := chainBuilder{env: scaletest.Env(t), depth: depth, listSize: 2}
 	c, err := b.proxied(t.Context())
@@ -81,16 +81,16 @@
 	}
 }
 
-func TestTheRunEndsWithItsContext(t *testing.T) {
+func TestRunEndsWithContext(t *testing.T) {
 	env := scaletest.Env(t)
-	stop := errors.New("enough")
+	stop := errors.New("stopped by the test")
 	ctx, cancel := context.WithCancelCause(t.Context())
 	env.Progress = func(string, ...any) { cancel(stop) }
 	if _, err := Experiment.Run(ctx, env); !errors.Is(err, stop) {
 		t.Errorf("got %v", err)
 	}
 	if env.Budget.Processes() != 0 {
-		t.Errorf("%d processes are left", env.Budget.Processes())
+		t.Errorf("%d processes still run", env.Budget.Processes())
 	}
 }
 
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestAddedIsTheDifference(t *testing.T) {
+func TestFiguresAddedIsDifferenceOfPercentiles(t *testing.T) {
 	m := &measurement{direct: newTimes(), through: newTimes(), proxyCores: 0.5}
 	fill(m.direct, time.Millisecond, 0)
 	fill(m.through, 3*time.Millisecond, time.Microsecond) // 3 to 4 ms
@@ -120,7 +120,7 @@
 	} {
 		at := slices.IndexFunc(figures, func(f scale.Figure) bool { return f.Quantity == want.Quantity })
 		if at < 0 {
-			t.Errorf("there is no %s", want.Quantity)
+			t.Errorf("no figure %s", want.Quantity)
 			continue
 		}
 		got := figures[at]
@@ -130,12 +130,12 @@
 		}
 	}
 	if got := (stage{depth: 13, rate: 10}).multiple(m); math.Abs(got.Value-13*2.99) > 0.1 || got.Samples != 1000 {
-		t.Errorf("13 times as much: got %+v", got)
+		t.Errorf("13 proxies: got %+v", got)
 	}
 	unserved := newTimes()
 	unserved.record(time.Unix(0, 0), time.Unix(0, 0), time.Unix(1, 0), errLost)
 	if err := unserved.check(); !errors.Is(err, errLost) {
-		t.Errorf("no call was served: got %v", err)
+		t.Errorf("no served call: got %v", err)
 	}
 }
 
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -32,8 +32,8 @@
 	Log   io.Writer // receives its output; may be nil
 }
 
-// Process is a process that the run has started. It is killed when the tool dies for whatever reason, and stopped when the
-// context of its start ends.
+// Process is a process that the run has started. It is killed when the tool dies for whatever reason, and stopped
+// when the context of its start ends.
 type Process struct {
 	budget  *Budget
 	command *exec.Cmd
@@ -57,7 +57,8 @@
 	p.command.Env = append(os.Environ(), program.Env...)
 	p.command.Stdout, p.command.Stderr = p.tail, p.tail
 	p.command.WaitDelay = time.Second // for output that its own children hold open
-	// A process group of its own, so that Ctrl-C on a terminal goes to the tool alone, which stops its processes in order.
+	// A process group of its own, so that Ctrl-C on a terminal goes to the tool alone, which stops its processes in
+	// order.
 	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	p.started = time.Now()
 	if err := start(p.command, program.Cores); err != nil {
@@ -90,7 +91,8 @@
 // Ended returns a channel that is closed once the process has ended.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// Err returns how the process ended, with the last line of its output; nil if it exited with 0. To be called after Ended.
+// Err returns how the process ended, with the last line of its output; nil if it exited with 0. To be called after
+// Ended.
 func (p *Process) Err() error {
 	if p.err == nil {
 		return nil
@@ -141,8 +143,8 @@
 var startJobs = sync.OnceValue(func() chan func() {
 	jobs := make(chan func())
 	go func() {
-		// The kernel sends Pdeathsig when the thread that started the child ends, so this one never does. A child inherits
-		// the cores of this thread.
+		// The kernel sends Pdeathsig when the thread that started the child ends, so this one never does. A child
+		// inherits the cores of this thread.
 		runtime.LockOSThread()
 		for job := range jobs {
 			job()
--- a/internal/scale/propagation/figures.go
+++ b/internal/scale/propagation/figures.go
@@ -31,22 +31,31 @@
 	t := f.tracker
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return &measurement{times: t.times, accepted: t.accepted, neverInForce: t.pending, polled: f.poll, outage: f.scenario.outOfReach,
-		loads: f.load.loads, traffic: f.load.traffic, real: f.real}
+	return &measurement{
+		times:        t.times,
+		accepted:     t.accepted,
+		neverInForce: t.pending,
+		polled:       f.poll,
+		outage:       f.scenario.outOfReach,
+		loads:        f.load.loads,
+		traffic:      f.load.traffic,
+		real:         f.real,
+	}
 }
 
 // figures returns the figures of one case.
 func (m *measurement) figures(name string) []scale.Figure {
 	b := &figureBuilder{name: name, source: scale.HollowProxy}
+	target := scale.Target(propagationTarget)
 	if m.outage {
-		b.times("accepted, or back in reach, to in force at the last proxy", m.times.inForce, scale.Target(propagationTarget))
+		b.times("accepted, or back in reach, to in force at the last proxy", m.times.inForce, target)
 		b.times("accepted to in force at the last proxy, those out of reach included", m.times.uncorrected, nil)
 	} else {
-		b.times("accepted to in force at the last proxy", m.times.inForce, scale.Target(propagationTarget))
+		b.times("accepted to in force at the last proxy", m.times.inForce, target)
 	}
 	b.add("changes never in force", "changes", float64(m.neverInForce), scale.Target(0), m.accepted)
 	b.times("start of a proxy to its list", m.times.startToList, nil)
-	b.times("accepted, or back in reach, to in force at the last started proxy", m.times.atStarted, scale.Target(propagationTarget))
+	b.times("accepted, or back in reach, to in force at the last started proxy", m.times.atStarted, target)
 	if m.polled {
 		b.load(m.loads)
 	}
@@ -106,7 +115,8 @@
 		highest = max(highest, bytes)
 	}
 	perSecond := func(bytes float64) float64 { return bytes / length.Seconds() / kilobyte }
-	b.add("bytes of a proxy, mean of all", "KB/s", perSecond(float64(total)/float64(len(traffic))),
-		scale.Target(proxyTrafficTarget), len(traffic))
-	b.add("bytes of a proxy, the most", "KB/s", perSecond(float64(highest)), scale.Target(proxyTrafficTarget), len(traffic))
+	mean := float64(total) / float64(len(traffic))
+	target := scale.Target(proxyTrafficTarget)
+	b.add("bytes of a proxy, mean of all", "KB/s", perSecond(mean), target, len(traffic))
+	b.add("bytes of a proxy, the most", "KB/s", perSecond(float64(highest)), target, len(traffic))
 }
--- a/internal/scale/propagation/fleet.go
+++ b/internal/scale/propagation/fleet.go
@@ -52,13 +52,25 @@
 func newFleet(ctx context.Context, config fleetConfig) (*fleet, error) {
 	stream := func(n uint64) *rand.Rand { return rand.New(rand.NewPCG(config.seed, n)) }
 	real := newRealProxies()
-	service, err := registry.New(registry.Config{Replicas: replicas(config.size.replicaCallRate), Poll: config.poll,
-		ReplicationDelay: replicationDelay, Random: stream(serviceStream), OnRequest: real.observe})
+	service, err := registry.New(registry.Config{
+		Replicas:         replicas(config.size.replicaCallRate),
+		Poll:             config.poll,
+		ReplicationDelay: replicationDelay,
+		Random:           stream(serviceStream),
+		OnRequest:        real.observe,
+	})
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{fleetConfig: config, service: service, tracker: newTracker(), changes: newChangeGenerator(stream(changeStream)),
-		random: stream(scenarioStream), backends: map[string]int{}, real: real}
+	f := &fleet{
+		fleetConfig: config,
+		service:     service,
+		tracker:     newTracker(),
+		changes:     newChangeGenerator(stream(changeStream)),
+		random:      stream(scenarioStream),
+		backends:    map[string]int{},
+		real:        real,
+	}
 	if err := f.fill(ctx, stream(watcherStream)); err != nil {
 		f.close()
 		return nil, err
--- a/internal/scale/propagation/load_test.go
+++ b/internal/scale/propagation/load_test.go
@@ -7,7 +7,7 @@
 	"baylock/internal/emulator/registry"
 )
 
-func TestMostGivesTheReplicaWithTheMostOverAllPhases(t *testing.T) {
+func TestPeakLoadIsHighestOfAnyReplica(t *testing.T) {
 	loads := []load{
 		{length: 10 * time.Second, replicas: []registry.ReplicaUsage{
 			{Name: "a", Requests: 100, BytesIn: 1000, BytesOut: 9000, PeakRequests: 20, PeakBytes: 3000},
@@ -21,6 +21,6 @@
 	want := replicaLoad{calls: 20, bytes: 1000, allCalls: 30, allBytes: 1075, peakCalls: 90, peakBytes: 4000,
 		rejected: 5}
 	if got := peakLoad(loads); got != want {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
--- a/internal/scale/propagation/propagation.go
+++ b/internal/scale/propagation/propagation.go
@@ -1,6 +1,7 @@
-// Package propagation measures how long changes of endpoint lists take until they are in force at every proxy that watches
-// the list, and the load of the watches on the discovery service. The proxies are hollow ones, with a few real ones; the
-// service is that of package registry. Scenarios with several faults run with pushed and with polled lists.
+// Package propagation measures how long changes of endpoint lists take until they are in force at every proxy that
+// watches the list, and the load of the watches on the discovery service. The proxies are hollow ones, with a few
+// real ones; the service is that of package registry. Scenarios with several faults run with pushed and with polled
+// lists.
 package propagation
 
 import (
--- a/internal/scale/propagation/propagation_test.go
+++ b/internal/scale/propagation/propagation_test.go
@@ -17,18 +17,18 @@
 
 const testSeed = 20261202
 
-// The networks of the tests.
+// The network delays of the tests.
 const (
-	shortestWay = 200 * time.Microsecond
-	waySpread   = 300 * time.Microsecond
+	minDelay    = 200 * time.Microsecond // each way
+	delaySpread = 300 * time.Microsecond
 )
 
-// inMemory opens connections without sockets. Each proxy has a latency of its own, as on a network, so that no two requests
-// arrive at the same time and their order does not depend on the scheduler.
+// inMemory opens connections without sockets. Each proxy has a latency of its own, as on a network, so that no two
+// requests arrive at the same time and their order does not depend on the scheduler.
 func inMemory(s *registry.Service, list string, at registry.Location) (string, discovery.Dialer, error) {
 	hash := fnv.New64a()
 	hash.Write([]byte(at.Name))
-	delay := shortestWay + time.Duration(hash.Sum64()%uint64(waySpread))
+	delay := minDelay + time.Duration(hash.Sum64()%uint64(delaySpread))
 	dial := s.Dialer(list, at)
 	return "discovery:1", func(ctx context.Context, network, address string) (net.Conn, error) {
 		time.Sleep(delay)
@@ -51,8 +51,8 @@
 	return c.Conn.Write(p)
 }
 
-// play runs a job of the small size in a synctest bubble.
-func play(t *testing.T, j job) (m *measurement) {
+// runInMemory runs a job of the small size in a synctest bubble.
+func runInMemory(t *testing.T, j job) (m *measurement) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		var err error
@@ -64,13 +64,13 @@
 }
 
 // bounds are the bounds of a scenario's worst time, in seconds. There is a lower one where the fault matters.
-type bounds struct{ least, most float64 }
+type bounds struct{ min, max float64 }
 
-// Some scenarios need little more than the replication delay of 50 ms and some service time. A silent watch is found out
-// after its hold time and timeout: 2 s and 0.1 s where the list is pushed; 2.5 s and 0.5 s where it is polled, and then the
-// snapshot waits in the queue. There each failed request lengthens the hold time by a quarter, and each response shortens
-// it by 50 ms, so that repeated silences take more than the target of 3 s. An isolated zone silences the watches of
-// clients in other zones that are connected to its replica.
+// Some scenarios need little more than the replication delay of 50 ms and some service time. A silent watch is found
+// out after its hold time and timeout: 2 s and 0.1 s where the list is pushed; 2.5 s and 0.5 s where it is polled,
+// and then the snapshot waits in the queue. There each failed request lengthens the hold time by a quarter, and each
+// response shortens it by 50 ms, so that repeated silences take more than the target of 3 s. An isolated zone
+// silences the watches of clients in other zones that are connected to its replica.
 var worstTimes = map[string]bounds{
 	"asked, regions apart and back":          {0.05, 0.5},
 	"pushed, regions apart and back":         {0.05, 0.5},
@@ -90,11 +90,11 @@
 	"pushed, restarts of proxies":            {0.05, 0.5},
 }
 
-func TestChangesAreInForceWithinTheBoundsOfTheClient(t *testing.T) {
+func TestScenariosStayWithinBounds(t *testing.T) {
 	for _, j := range allJobs(testSeed) {
 		t.Run(j.name(), func(t *testing.T) {
-			m, bounds := play(t, j), worstTimes[j.name()]
-			if worst := m.times.inForce.quantile(1); worst < bounds.least || worst > bounds.most {
+			m, bounds := runInMemory(t, j), worstTimes[j.name()]
+			if worst := m.times.inForce.quantile(1); worst < bounds.min || worst > bounds.max {
 				t.Errorf("worst %v s, bounds %v", worst, bounds)
 			}
 			if m.neverInForce != 0 {
@@ -119,17 +119,17 @@
 		t.Errorf("%d starts are timed, want %d", n, started)
 	}
 	if worst := m.times.startToList.quantile(1); worst > 0.5 {
-		t.Errorf("a proxy had its list after %v s", worst)
+		t.Errorf("a proxy got its list after %v s", worst)
 	}
 	if worst := m.times.atStarted.quantile(1); worst > 0.5 {
 		t.Errorf("a change was in force at the started proxies after %v s", worst)
 	}
 }
 
-func TestSameSeedGivesTheSameFigures(t *testing.T) {
+func TestJobWithSameSeedRepeatsFigures(t *testing.T) {
 	for _, j := range allJobs(testSeed) {
 		t.Run(j.name(), func(t *testing.T) {
-			first, second := play(t, j).figures(j.name()), play(t, j).figures(j.name())
+			first, second := runInMemory(t, j).figures(j.name()), runInMemory(t, j).figures(j.name())
 			if len(first) != len(second) {
 				t.Fatalf("%d figures, then %d", len(first), len(second))
 			}
@@ -142,15 +142,15 @@
 	}
 }
 
-func TestAnotherSeedGivesOtherFigures(t *testing.T) {
-	one, other := play(t, allJobs(testSeed)[0]), play(t, allJobs(testSeed + 1)[0])
+func TestJobWithOtherSeedGivesOtherFigures(t *testing.T) {
+	one, other := runInMemory(t, allJobs(testSeed)[0]), runInMemory(t, allJobs(testSeed + 1)[0])
 	if one.times.inForce.quantile(1) == other.times.inForce.quantile(1) && one.accepted == other.accepted {
 		t.Errorf("both seeds give %d changes and %v s", one.accepted, one.times.inForce.quantile(1))
 	}
 }
 
 // synctest fails if anything runs on.
-func TestEndOfContextEndsAll(t *testing.T) {
+func TestJobEndsWithContext(t *testing.T) {
 	for _, j := range allJobs(testSeed) {
 		for _, after := range []time.Duration{50 * time.Millisecond, 500 * time.Millisecond, 3 * time.Second} {
 			synctest.Test(t, func(t *testing.T) {
@@ -169,15 +169,25 @@
 // tinySize takes some seconds of real time.
 func tinySize() size {
 	s := smallSize()
-	s.proxies, s.changeRate, s.startSpread, s.parallel = 10, 40, 10*time.Millisecond, 16
-	s.services, s.beforeFault, s.faultFree, s.outage, s.partition = 2, 50*time.Millisecond, time.Second, 200*time.Millisecond,
-		200*time.Millisecond
-	s.afterFault, s.restarts, s.restartSpan, s.downTime = 500*time.Millisecond, 4, 100*time.Millisecond, 50*time.Millisecond
-	s.longSilenceInterval, s.shortSilenceInterval = 500*time.Millisecond, 500*time.Millisecond
+	s.proxies = 10
+	s.services = 2
+	s.changeRate = 40
+	s.startSpread = 10 * time.Millisecond
+	s.parallel = 16
+	s.beforeFault = 50 * time.Millisecond
+	s.faultFree = time.Second
+	s.outage = 200 * time.Millisecond
+	s.partition = 200 * time.Millisecond
+	s.afterFault = 500 * time.Millisecond
+	s.restarts = 4
+	s.restartSpan = 100 * time.Millisecond
+	s.downTime = 50 * time.Millisecond
+	s.longSilenceInterval = 500 * time.Millisecond
+	s.shortSilenceInterval = 500 * time.Millisecond
 	return s
 }
 
-func TestRunOverTCPGivesAllFigures(t *testing.T) {
+func TestRunJobsOverTCPGivesAllFigures(t *testing.T) {
 	jobs := allJobs(testSeed)
 	env := scale.Env{Seed: testSeed, Progress: func(string, ...any) {}}
 	result, err := runJobs(t.Context(), env, tinySize(), jobs)
@@ -187,13 +197,13 @@
 	seen := map[string]map[string]scale.Figure{}
 	for _, f := range result.Figures {
 		if f.Quantity == "" || f.Unit == "" || f.Source != scale.HollowProxy {
-			t.Errorf("figure %+v lacks something", f)
+			t.Errorf("figure %+v is incomplete", f)
 		}
 		if seen[f.Case] == nil {
 			seen[f.Case] = map[string]scale.Figure{}
 		}
-		if _, twice := seen[f.Case][f.Quantity]; twice {
-			t.Errorf("%s: %q is given twice", f.Case, f.Quantity)
+		if _, duplicate := seen[f.Case][f.Quantity]; duplicate {
+			t.Errorf("%s: duplicate figure %q", f.Case, f.Quantity)
 		}
 		seen[f.Case][f.Quantity] = f
 	}
@@ -214,7 +224,7 @@
 	}
 }
 
-func TestNotesStateTheSize(t *testing.T) {
+func TestNotesStateSize(t *testing.T) {
 	notes := strings.Join(fullSize().notes(), "\n")
 	for _, want := range []string{"970 hollow proxies in 29 services", "5 zones", "2 regions", "98 times", "2200 a day"} {
 		if !strings.Contains(notes, want) {
--- a/internal/scale/propagation/real.go
+++ b/internal/scale/propagation/real.go
@@ -10,8 +10,8 @@
 	"baylock/internal/scale"
 )
 
-// realProxies are real proxies that watch lists together with the hollow ones. A real proxy does not report when a change
-// is in force. Its next watch shows that, as it starts from the version that its event loop has applied.
+// realProxies are real proxies that watch lists together with the hollow ones. A real proxy does not report when a
+// change is in force. Its next watch shows that, as it starts from the version that its event loop has applied.
 type realProxies struct {
 	mu       sync.Mutex
 	proxies  map[string]*realProxy // by the client name of their requests
--- a/internal/scale/propagation/real_test.go
+++ b/internal/scale/propagation/real_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) { os.Exit(scaletest.Main(m)) }
 
-func TestARealProxyShowsAChangeByItsNextWatch(t *testing.T) {
+func TestRealProxyShowsChangeByNextWatch(t *testing.T) {
 	at := time.Now()
 	r := newRealProxies()
 	r.add("first", "list")
@@ -21,6 +21,7 @@
 	r.add("other", "other list")
 	number := int64(0)
 	accept := func(list string) {
+		t.Helper()
 		number++
 		if _, err := r.publish(func() (registry.Change, error) {
 			return registry.Change{List: list, Number: number, At: at}, nil
@@ -35,7 +36,7 @@
 	accept("unwatched")
 	accept("list")
 	if r.expected != 2 || r.allSeen() {
-		t.Fatalf("%d changes to be seen, all shown: %v", r.expected, r.allSeen())
+		t.Fatalf("%d changes expected, all seen: %v", r.expected, r.allSeen())
 	}
 	seen("first", registry.Unknown, time.Second)
 	seen("stranger", 3, time.Second)
@@ -43,15 +44,15 @@
 	seen("first", 3, 2*time.Second)
 	seen("second", 1, 3*time.Second)
 	if r.pending != 1 || r.times.count() != 1 {
-		t.Errorf("%d open, %d seen", r.pending, r.times.count())
+		t.Errorf("%d pending, %d seen", r.pending, r.times.count())
 	}
 	seen("second", 3, 4*time.Second)
 	if worst := r.times.quantile(1); !r.allSeen() || worst < 3.99 || worst > 4.01 {
-		t.Errorf("all shown: %v, worst %v s", r.allSeen(), worst)
+		t.Errorf("all seen: %v, worst %v s", r.allSeen(), worst)
 	}
 }
 
-func TestRealProxiesBesideHollowOnes(t *testing.T) {
+func TestRealProxiesSeeChangesInBothModes(t *testing.T) {
 	s := smallSize()
 	s.faultFree, s.afterFault = 3*time.Second, time.Second
 	env := scaletest.Env(t)
@@ -74,6 +75,6 @@
 		}
 	}
 	if n := env.Budget.Processes(); n != 0 {
-		t.Errorf("%d processes are left", n)
+		t.Errorf("%d processes still run", n)
 	}
 }
--- a/internal/scale/propagation/size.go
+++ b/internal/scale/propagation/size.go
@@ -37,8 +37,8 @@
 
 // fullSize returns the size of the modelled service.
 func fullSize() size {
-	return size{proxies: 970, services: 29, realProxies: 10, changeRate: 2.5, replicaCallRate: 500, startSpread: 2 * time.Second,
-		parallel: 4, beforeFault: 4 * time.Second, faultFree: 40 * time.Second, outage: 20 * time.Second,
+	return size{proxies: 970, services: 29, realProxies: 10, changeRate: 2.5, replicaCallRate: 500,
+		startSpread: 2 * time.Second, parallel: 4, beforeFault: 4 * time.Second, faultFree: 40 * time.Second, outage: 20 * time.Second,
 		partition: 2 * time.Minute, afterFault: 12 * time.Second, silences: 5, longSilenceInterval: 30 * time.Second,
 		shortSilenceInterval: 6 * time.Second, restarts: 170, restartSpan: 30 * time.Second, downTime: 2 * time.Second,
 		settle: 15 * time.Second}
@@ -47,8 +47,9 @@
 // smallSize returns a size for quick runs.
 func smallSize() size {
 	return size{proxies: 60, services: 6, realProxies: 3, changeRate: 5, replicaCallRate: 50, startSpread: time.Second,
-		parallel: 16, beforeFault: time.Second, faultFree: 6 * time.Second, outage: 5 * time.Second, partition: 8 * time.Second,
-		afterFault: 5 * time.Second, silences: 2, longSilenceInterval: 8 * time.Second, shortSilenceInterval: 5 * time.Second, restarts: 10,
+		parallel: 16, beforeFault: time.Second, faultFree: 6 * time.Second, outage: 5 * time.Second,
+		partition: 8 * time.Second, afterFault: 5 * time.Second, silences: 2, longSilenceInterval: 8 * time.Second,
+		shortSilenceInterval: 5 * time.Second, restarts: 10,
 		restartSpan: 4 * time.Second, downTime: time.Second, settle: 15 * time.Second}
 }
 
@@ -63,19 +64,20 @@
 			s.proxies, s.services, len(zones()), len(replicas(0)), s.parallel),
 		fmt.Sprintf("Changes come %.0f times as fast as %d a day, %.3g a second: drains, removals and restarts of backends, "+
 			"accepted in the backend's region.", s.compression(), changesPerDay, s.changeRate),
-		fmt.Sprintf("Stated for the service: a replica takes %v calls a second in turn where the list is asked for, and a "+
-			"change reaches the other replicas after %v; the network adds nothing.", s.replicaCallRate, replicationDelay),
-		"The time of a change ends when the module of the last proxy that watches its list has taken it in. For proxies " +
-			"that were cut off from it or down it is counted from their return, and so it is for all where the only replica that " +
-			"had it was lost; the same from the acceptance stands beside, without target.",
-		fmt.Sprintf("Faults: a replica or a zone is out for %v, the regions are apart for %v, all watches fall silent %d times "+
-			"%v or %v apart, and %d proxies restart within %v, each with its list and after %v.", s.outage, s.partition,
+		fmt.Sprintf("Stated for the service: a replica serves %v requests a second, one after the other, where lists are "+
+			"polled; a change reaches the other replicas after %v; the network has no latency.",
+			s.replicaCallRate, replicationDelay),
+		"The time of a change ends when the balancer of the last proxy that watches its list has applied it. For proxies that " +
+			"were isolated or down it counts from the end of that, and so it does for all if the only replica with the change " +
+			"was lost; the time from the acceptance is given as well, without target.",
+		fmt.Sprintf("Faults: a replica or a zone is out for %v, the regions are partitioned for %v, all watches fall silent %d "+
+			"times %v or %v apart, and %d proxies restart within %v, each with its list and after %v.", s.outage, s.partition,
 			s.silences, s.longSilenceInterval, s.shortSilenceInterval, s.restarts, s.restartSpan, s.downTime),
-		"Loads leave out the start of the first proxies; a replica's mean is that of the replica with the most. Where the list " +
-			"is pushed, an agent on each proxy's machine bears the calls, and the service's load is not emulated.",
-		fmt.Sprintf("Where nothing is cut off and none starts late, %d real proxies watch beside the hollow ones, without calls of "+
-			"clients, if the real proxy's program is there. A change counts as seen at one when its next watch asks from a version "+
-			"that has it, which it does once its loop has taken the change in.", s.realProxies),
-		"Bytes are those of HTTP on the connections, both ways, without TCP's and IP's headers; 1 KB is 1,000 bytes.",
+		"Loads do not include the start of the first proxies; a replica's mean is that of the replica with the highest. Where " +
+			"the list is pushed, an agent on each proxy's machine bears the requests, and the service's load is not emulated.",
+		fmt.Sprintf("In scenarios without outage or late start, %d real proxies, without calls of clients, watch lists as well, "+
+			"if the real proxy's program is there. One of them has seen a change when its next watch starts from a version "+
+			"with the change, which it does once its event loop has applied it.", s.realProxies),
+		"Bytes are those of HTTP on the connections, in both directions, without TCP and IP headers; 1 KB is 1,000 bytes.",
 	}
 }
--- a/internal/scale/propagation/tracker.go
+++ b/internal/scale/propagation/tracker.go
@@ -71,8 +71,8 @@
 	t.revisions[e.Name] = []endpointState{stateOf(e)}
 }
 
-// addWatcher adds a proxy that starts to those that have to get the changes. A restarted proxy also has to get those that
-// it has missed.
+// addWatcher adds a proxy that starts to those that have to get the changes. A restarted proxy also has to get those
+// that it has missed.
 func (t *tracker) addWatcher(w *watcher) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -158,7 +158,8 @@
 	}
 }
 
-// reachableFrom returns when a change could first reach a proxy: at its acceptance, or at the end of the proxy's outage.
+// reachableFrom returns when a change could first reach a proxy: at its acceptance, or at the end of the proxy's
+// outage.
 func (t *tracker) reachableFrom(w *watcher, c *change, at time.Time) time.Time {
 	from := c.at
 	if w.startedAt.After(from) {
@@ -211,8 +212,8 @@
 	return true
 }
 
-// wait waits until a condition holds that the proxies' updates bring about. It returns false if that takes longer than the
-// limit or the context ends first.
+// wait waits until a condition holds that the proxies' updates bring about. It returns false if that takes longer
+// than the limit or the context ends first.
 func (t *tracker) wait(ctx context.Context, limit time.Duration, isSo func() bool) bool {
 	timeout := time.NewTimer(limit)
 	defer timeout.Stop()
--- a/internal/scale/propagation/tracker_test.go
+++ b/internal/scale/propagation/tracker_test.go
@@ -19,6 +19,7 @@
 }
 
 func newTrackerTest(t *testing.T, backends ...string) *trackerTest {
+	t.Helper()
 	tt := &trackerTest{T: t, tracker: newTracker(), start: time.Now()}
 	for _, name := range backends {
 		tt.tracker.setInitial(serving(name, 0))
@@ -36,6 +37,7 @@
 }
 
 func (tt *trackerTest) watcher(zone, region string) *watcher {
+	tt.Helper()
 	w := &watcher{list: testList, location: registry.Location{Zone: zone, Region: region}}
 	tt.tracker.addWatcher(w)
 	w.startedAt = tt.start
@@ -51,22 +53,23 @@
 }
 
 func (tt *trackerTest) apply(w *watcher, after time.Duration, snapshot bool, entries ...discovery.Endpoint) {
+	tt.Helper()
 	list := &discovery.List{Snapshot: snapshot, Endpoints: entries}
 	tt.tracker.applied(w, list, tt.start.Add(after))
 }
 
 // want checks the number of pending changes and the worst time of the others, in seconds.
-func (tt *trackerTest) want(open int, worst float64) {
+func (tt *trackerTest) want(pending int, worst float64) {
 	tt.Helper()
-	if got := tt.tracker.pending; got != open {
-		tt.Errorf("%d changes are open, want %d", got, open)
+	if got := tt.tracker.pending; got != pending {
+		tt.Errorf("%d changes are pending, want %d", got, pending)
 	}
 	if got := tt.tracker.times.inForce.quantile(1); got < 0.999*worst || got > 1.001*worst {
 		tt.Errorf("worst time %v s, want %v", got, worst)
 	}
 }
 
-func TestChangeIsInForceAtTheLastProxy(t *testing.T) {
+func TestTrackerChangeIsInForceAtLastProxy(t *testing.T) {
 	tt := newTrackerTest(t, "a")
 	one, other := tt.watcher("zone-1", east), tt.watcher("zone-2", east)
 	for _, w := range []*watcher{one, other} {
@@ -81,7 +84,7 @@
 	tt.want(0, 0.5)
 }
 
-func TestLaterStateOfAnEndpointHasTheEarlierChangesToo(t *testing.T) {
+func TestTrackerLaterStateIncludesEarlierChanges(t *testing.T) {
 	tt := newTrackerTest(t, "a")
 	w := tt.watcher("zone-1", east)
 	tt.apply(w, 0, true, serving("a", 0))
@@ -95,7 +98,7 @@
 	tt.want(0, 3)
 }
 
-func TestOutageCountsFromTheReturnForThoseCutOff(t *testing.T) {
+func TestTrackerOutageCountsFromRecovery(t *testing.T) {
 	tt := newTrackerTest(t, "a", "b")
 	near, far := tt.watcher("zone-1", east), tt.watcher("zone-4", west)
 	for _, w := range []*watcher{near, far} {
@@ -118,7 +121,7 @@
 	tt.want(0, 1)
 }
 
-func TestRestartedProxyIsCountedFromItsStart(t *testing.T) {
+func TestTrackerRestartedProxyCountsFromStart(t *testing.T) {
 	tt := newTrackerTest(t, "a")
 	w := tt.watcher("zone-1", east)
 	tt.apply(w, 0, true, serving("a", 0))
@@ -137,7 +140,7 @@
 	}
 }
 
-func TestStartWithoutAListIsTimed(t *testing.T) {
+func TestTrackerStartWithoutListIsTimed(t *testing.T) {
 	tt := newTrackerTest(t, "a")
 	tt.tracker.timeStarts()
 	w := tt.watcher("zone-1", east)
@@ -147,7 +150,7 @@
 	}
 }
 
-func TestChangerGoesThroughAllBackends(t *testing.T) {
+func TestChangeGeneratorChangesEveryBackendInTurn(t *testing.T) {
 	c := newChangeGenerator(rand.New(rand.NewPCG(1, 1)))
 	const backends = 30
 	for i := range backends {
--- a/internal/scale/propagation/watcher.go
+++ b/internal/scale/propagation/watcher.go
@@ -64,10 +64,17 @@
 }
 
 // run starts a hollow proxy for the watcher, which has none.
-func (w *watcher) run(ctx context.Context, ask bool, applied func(*discovery.List, time.Time)) error {
+func (w *watcher) run(ctx context.Context, poll bool, applied func(*discovery.List, time.Time)) error {
 	w.seed++
-	proxy, err := hollow.New(hollow.Config{Name: w.location.Name, Settings: w.settings(ask), Zones: zoneNames(),
-		Seed: w.seed, Discovery: discovery.Options{Address: w.address, Dial: w.dial}, Known: w.known(), OnListApplied: applied})
+	proxy, err := hollow.New(hollow.Config{
+		Name:          w.location.Name,
+		Settings:      w.settings(poll),
+		Zones:         zoneNames(),
+		Seed:          w.seed,
+		Discovery:     discovery.Options{Address: w.address, Dial: w.dial},
+		Known:         w.known(),
+		OnListApplied: applied,
+	})
 	if err != nil {
 		return err
 	}
@@ -92,10 +99,21 @@
 }
 
 // settings returns the settings of the proxy. Most do not matter, as there are no calls.
-func (w *watcher) settings(ask bool) balancer.Settings {
+func (w *watcher) settings(poll bool) balancer.Settings {
 	const millisecond, second = 1000, 1_000_000
-	return balancer.Settings{Tier: 1, Replicas: w.replicaIndex + 1, ReplicaIndex: w.replicaIndex, Zone: w.zone, Zones: len(zones()),
+	return balancer.Settings{
+		Tier:              1,
+		Replicas:          w.replicaIndex + 1,
+		ReplicaIndex:      w.replicaIndex,
+		Zone:              w.zone,
+		Zones:             len(zones()),
 		Classes:           []balancer.Class{{LatencyObjective: second, Deadline: 2 * second, PriorityWeight: 1}},
-		SubscribeRequired: ask, MaxPollInterval: 10 * second, MaxAttempts: 3, DrainGrace: 500 * millisecond,
-		SlowStartCapacity: 0.3, SlowStartOverload: 3, SlowStartDuration: 8 * second}
+		SubscribeRequired: poll,
+		MaxPollInterval:   10 * second,
+		MaxAttempts:       3,
+		DrainGrace:        500 * millisecond,
+		SlowStartCapacity: 0.3,
+		SlowStartOverload: 3,
+		SlowStartDuration: 8 * second,
+	}
 }
--- a/internal/scale/proxy.go
+++ b/internal/scale/proxy.go
@@ -197,8 +197,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// portReservation holds a port of 127.0.0.1 for a proxy, which listens there with SO_REUSEPORT, so that no other program
-// gets it before the proxy starts or between two starts.
+// portReservation holds a port of 127.0.0.1 for a proxy, which listens there with SO_REUSEPORT, so that no other
+// program gets it before the proxy starts or between two starts.
 type portReservation struct {
 	address string
 	socket  int
--- a/internal/scale/ramp/ramp.go
+++ b/internal/scale/ramp/ramp.go
@@ -10,6 +10,7 @@
 
 	"baylock/internal/emulator/backend"
 	"baylock/internal/scale"
+	"baylock/internal/timing"
 )
 
 // Experiment is the experiment.
@@ -31,7 +32,8 @@
 var (
 	fullSize = size{backends: 30, warmUp: 4 * time.Second, before: 4 * time.Second, outage: 2 * time.Second,
 		recovery: warmUp + 2*time.Second}
-	smallSize = size{backends: 10, warmUp: time.Second, before: time.Second, outage: time.Second, recovery: 2 * time.Second}
+	smallSize = size{backends: 10, warmUp: time.Second, before: time.Second, outage: time.Second,
+		recovery: 2 * time.Second}
 )
 
 // scenario is one scenario of the experiment.
@@ -47,7 +49,8 @@
 	if c.coldZone {
 		cold = "a cold zone"
 	}
-	return fmt.Sprintf("%d callers, %s, load %.0f%%, falls at %.1f times its capacity", c.callers, cold, 100*c.load, c.overloadFactor)
+	return fmt.Sprintf("%d callers, %s, load %.0f%%, falls at %.1f times its capacity",
+		c.callers, cold, 100*c.load, c.overloadFactor)
 }
 
 var scenarios = []scenario{
@@ -103,7 +106,7 @@
 	stop()
 	running.Wait()
 	if err != nil {
-		return nil, fmt.Errorf("play a cold start: %w", err)
+		return nil, fmt.Errorf("run a cold start: %w", err)
 	}
 	r.counts = svc.tier.Counts()
 	return r, nil
@@ -138,22 +141,18 @@
 // phase waits for the duration of a phase and returns its results.
 func (svc *service) phase(ctx context.Context, d time.Duration) (phase, error) {
 	served, others := svc.results.served.Load(), svc.results.others.Load()
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-	case <-ctx.Done():
-	}
-	return phase{svc.results.served.Load() - served, svc.results.others.Load() - others}, ctx.Err()
+	err := timing.Wait(ctx, d)
+	return phase{svc.results.served.Load() - served, svc.results.others.Load() - others}, err
 }
 
 func notes(s size) []string {
 	return []string{
-		fmt.Sprintf("%d backends in %d zones, each for %.0f calls a second when warm; a cold one has %.1f of that at first, and all "+
-			"after %v, and falls when it gets too much within %v.", s.backends, len(zones), warmRate, initialCapacity, warmUp, overloadWindow),
-		fmt.Sprintf("Proxies draw safe calls by themselves; lists are pushed. The backends are away, and off the list, for %v; "+
-			"then %v of their return are watched.", s.outage, s.recovery),
-		"What a cold backend bears is N + 2 x root of N + 2 calls of mean work, N being the multiple of its present capacity.",
+		fmt.Sprintf("%d backends in %d zones, each with a capacity of %.0f calls a second when warm. A cold one has %.1f of that "+
+			"at first, all of it after %v, and crashes when it receives too much within %v.",
+			s.backends, len(zones), warmRate, initialCapacity, warmUp, overloadWindow),
+		fmt.Sprintf("Proxies generate idempotent calls; lists are pushed. The backends are down, and not on the list, for %v; "+
+			"the %v after their restart are measured.", s.outage, s.recovery),
+		"A cold backend sustains N + 2 x root of N + 2 calls of mean work, N being the multiple of its present capacity.",
 	}
 }
 
--- a/internal/scale/ramp/ramp_test.go
+++ b/internal/scale/ramp/ramp_test.go
@@ -28,38 +28,42 @@
 	return r
 }
 
-func TestColdBackendsBearWhatTheyGet(t *testing.T) {
+func TestColdBackendsSustainTheirLoad(t *testing.T) {
 	for _, c := range []scenario{
 		{callers: 33, load: 0.6, overloadFactor: 3},
 		{callers: 33, coldZone: true, load: 0.8, overloadFactor: 1.5},
 	} {
-		r := measureOnce(t, c)
-		if k := r.counts; k.ColdPeakLoad > 1 || k.ColdPeakMeanLoad <= 0 || k.Overloaded != 0 || k.ColdArrivals == 0 || k.Reset == 0 {
-			t.Errorf("%v: counts %+v", c, k)
-		}
-		if r.before.servedRatio() < 0.99 || r.outage.servedRatio() < 0.95 || r.recovery.servedRatio() < 0.99 {
-			t.Errorf("%v: served %v before, %v in the outage, %v after it", c, r.before, r.outage, r.recovery)
-		}
-		if load := figures(smallSize, c, &r)[0].Value; math.Abs(load-c.load) > 0.05 {
-			t.Errorf("%v: the load was %.2f", c, load)
-		}
-		if r.before.served == 0 || r.outage.served == 0 || r.recovery.served == 0 {
-			t.Errorf("%v: no calls: %+v", c, r)
-		}
+		t.Run(c.String(), func(t *testing.T) {
+			m := measureOnce(t, c)
+			counts := m.counts
+			if counts.ColdPeakLoad > 1 || counts.ColdPeakMeanLoad <= 0 || counts.Overloaded != 0 ||
+				counts.ColdArrivals == 0 || counts.Reset == 0 {
+				t.Errorf("counts %+v", counts)
+			}
+			if m.before.servedRatio() < 0.99 || m.outage.servedRatio() < 0.95 || m.recovery.servedRatio() < 0.99 {
+				t.Errorf("served %v before, %v in the outage, %v after it", m.before, m.outage, m.recovery)
+			}
+			if load := figures(smallSize, c, &m)[0].Value; math.Abs(load-c.load) > 0.05 {
+				t.Errorf("the load was %.2f", load)
+			}
+			if m.before.served == 0 || m.outage.served == 0 || m.recovery.served == 0 {
+				t.Errorf("no calls: %+v", m)
+			}
+		})
 	}
 }
 
-func TestSameSeedSameRecord(t *testing.T) {
+func TestScenarioWithSameSeedRepeatsMeasurement(t *testing.T) {
 	c := scenario{callers: 33, coldZone: true, load: 0.6, overloadFactor: 3}
 	if first, second := measureOnce(t, c), measureOnce(t, c); first.before != second.before || first.outage != second.outage ||
 		first.recovery != second.recovery || first.counts.ColdPeakLoad != second.counts.ColdPeakLoad ||
 		first.counts.Arrivals != second.counts.Arrivals || first.counts.Served != second.counts.Served {
-		t.Errorf("two plays of one seed differ:\n%+v\n%+v", first, second)
+		t.Errorf("two runs with one seed differ:\n%+v\n%+v", first, second)
 	}
 }
 
 // The backend can sustain next to nothing.
-func TestFallIsShown(t *testing.T) {
+func TestFiguresShowOverloadedBackend(t *testing.T) {
 	c := scenario{callers: 33, load: 0.6, overloadFactor: 0.02}
 	r := measureOnce(t, c)
 	if r.counts.Overloaded != 1 || r.counts.ColdPeakLoad <= 1 {
@@ -72,11 +76,11 @@
 		}
 	}
 	if missed != 2 {
-		t.Errorf("%d figures miss their targets; want the worst window and the fall", missed)
+		t.Errorf("%d figures miss their targets; want the peak load and the overload", missed)
 	}
 }
 
-func TestExperiment(t *testing.T) {
+func TestRunStaysWithinTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		result, err := Experiment.Run(t.Context(), scaletest.EnvInMemory(testSeed))
 		if err != nil {
@@ -94,4 +98,4 @@
 	})
 }
 
-func TestEndOfContext(t *testing.T) { scaletest.CheckEndOfContext(t, Experiment, testSeed) }
+func TestRunEndsWithContext(t *testing.T) { scaletest.CheckEndOfContext(t, Experiment, testSeed) }
--- a/internal/scale/ramp/service.go
+++ b/internal/scale/ramp/service.go
@@ -35,7 +35,13 @@
 
 var zones = []string{"zone-a", "zone-b", "zone-c", "zone-d", "zone-e"}
 
-var classes = []balancer.Class{{LatencyObjective: 400_000, Deadline: 1_500_000, PriorityWeight: 1, LateFraction: 0.25, Idempotency: balancer.Idempotent}}
+var classes = []balancer.Class{{
+	LatencyObjective: 400_000,
+	Deadline:         1_500_000,
+	PriorityWeight:   1,
+	LateFraction:     0.25,
+	Idempotency:      balancer.Idempotent,
+}}
 
 // service is a service of backends, a discovery service, and the proxies that generate the calls.
 type service struct {
@@ -64,9 +70,21 @@
 		svc.names = append(svc.names, fmt.Sprintf("backend-%d", i))
 	}
 	var err error
-	svc.tier, err = backend.New(backend.Config{Names: svc.names, Classes: classes, Work: work, Latency: latency,
-		Workers: workers, Queue: queue, Seed: seeds.Uint64(),
-		ColdStart: backend.ColdStart{InitialCapacity: initialCapacity, WarmUp: warmUp, OverloadFactor: c.overloadFactor, OverloadWindow: overloadWindow}})
+	svc.tier, err = backend.New(backend.Config{
+		Names:   svc.names,
+		Classes: classes,
+		Work:    work,
+		Latency: latency,
+		Workers: workers,
+		Queue:   queue,
+		ColdStart: backend.ColdStart{
+			InitialCapacity: initialCapacity,
+			WarmUp:          warmUp,
+			OverloadFactor:  c.overloadFactor,
+			OverloadWindow:  overloadWindow,
+		},
+		Seed: seeds.Uint64(),
+	})
 	if err != nil {
 		return nil, err
 	}
@@ -89,14 +107,20 @@
 	}
 	for i := range c.callers {
 		name, zone := fmt.Sprintf("proxy-%d", i), i%len(zones)
-		p, err := hollow.New(hollow.Config{Name: name, Zones: zones, Seed: seeds.Uint64(), Upstream: svc.tier,
-			Settings: balancer.Settings{Tier: 1, Replicas: c.callers, ReplicaIndex: i, Zone: zone, Zones: len(zones), Classes: classes,
-				MaxAttempts: 4, MaxRetryAfter: 2_000_000, DrainGrace: 300_000,
-				SlowStartCapacity: initialCapacity, SlowStartOverload: c.overloadFactor, SlowStartDuration: microtime.FromDuration(warmUp)},
-			Discovery: discovery.Options{Address: "discovery:80",
-				Dial: svc.registry.Dialer(list, registry.Location{Name: name, Zone: zones[zone], Region: region})},
+		location := registry.Location{Name: name, Zone: zones[zone], Region: region}
+		p, err := hollow.New(hollow.Config{
+			Name:     name,
+			Zones:    zones,
+			Seed:     seeds.Uint64(),
+			Upstream: svc.tier,
+			Settings: c.settings(i, zone),
+			Discovery: discovery.Options{
+				Address: "discovery:80",
+				Dial:    svc.registry.Dialer(list, location),
+			},
 			CallRate: c.load * warmRate * float64(s.backends) / float64(c.callers),
-			OnResult: svc.results.add})
+			OnResult: svc.results.add,
+		})
 		if err != nil {
 			return err
 		}
@@ -105,6 +129,24 @@
 	return nil
 }
 
+// settings returns the settings of a proxy.
+func (c scenario) settings(replicaIndex, zone int) balancer.Settings {
+	return balancer.Settings{
+		Tier:              1,
+		Replicas:          c.callers,
+		ReplicaIndex:      replicaIndex,
+		Zone:              zone,
+		Zones:             len(zones),
+		Classes:           classes,
+		MaxAttempts:       4,
+		MaxRetryAfter:     2_000_000,
+		DrainGrace:        300_000,
+		SlowStartCapacity: initialCapacity,
+		SlowStartOverload: c.overloadFactor,
+		SlowStartDuration: microtime.FromDuration(warmUp),
+	}
+}
+
 // publish publishes the status of backends. The time of their start may be zero.
 func (svc *service) publish(names []string, status discovery.Status, started time.Time) error {
 	since := int64(0)
--- a/internal/scale/reload/fleet.go
+++ b/internal/scale/reload/fleet.go
@@ -15,13 +15,13 @@
 	"baylock/internal/emulator/registry"
 	"baylock/internal/scale"
 	"baylock/internal/scale/traffic"
+	"baylock/internal/timing"
 )
 
 const (
 	listName    = "tier"
 	region      = "region-1"
 	callTimeout = 2000 // in milliseconds
-
 )
 
 // fleet is the proxies, with their backend and discovery service.
@@ -120,9 +120,13 @@
 	go func() {
 		calls, err := traffic.OpenLoop(loadCtx, f.plan.rate*float64(len(f.proxies)), time.Hour, f.random,
 			func(number int, _ time.Time) {
-				to := f.proxies[number%len(f.proxies)]
-				err := to.load.Call(traffic.Call{ID: "load-" + strconv.Itoa(number), Class: scale.ReadClass, Tenant: scale.TenantA,
-					TimeoutMs: callTimeout})
+				target := f.proxies[number%len(f.proxies)]
+				err := target.load.Call(traffic.Call{
+					ID:        "load-" + strconv.Itoa(number),
+					Class:     scale.ReadClass,
+					Tenant:    scale.TenantA,
+					TimeoutMs: callTimeout,
+				})
 				if err != nil {
 					notServed.Add(1)
 					f.env.Log.Info("call not served", "error", err)
@@ -162,8 +166,8 @@
 	return nil
 }
 
-// change adds a class to the file of every proxy, signals all proxies, and waits until the class is known or the timeout is
-// over. It returns the number of proxies that know it.
+// change adds a class to the file of every proxy, signals all proxies, and waits until the class is known or the
+// timeout is over. It returns the number of proxies that know it.
 func (f *fleet) change(ctx context.Context, m *measurement) (taken int, err error) {
 	class := f.addClass()
 	for _, p := range f.proxies { // so that a later positive answer is known to be due to the change
@@ -180,7 +184,8 @@
 			return 0, fmt.Errorf("%s: %w", p.config.Name, err)
 		}
 	}
-	times, errs := make([]time.Duration, len(f.proxies)), make([]error, len(f.proxies))
+	times := make([]time.Duration, len(f.proxies))
+	errs := make([]error, len(f.proxies))
 	var watches sync.WaitGroup
 	for i, p := range f.proxies {
 		watches.Go(func() { times[i], errs[i] = f.waitForClass(ctx, p, class, began) })
@@ -284,10 +289,8 @@
 
 // wait waits for a while.
 func wait(ctx context.Context, length time.Duration) error {
-	select {
-	case <-time.After(length):
-		return nil
-	case <-ctx.Done():
+	if timing.Wait(ctx, length) != nil {
 		return context.Cause(ctx)
 	}
+	return nil
 }
--- a/internal/scale/reload/reload.go
+++ b/internal/scale/reload/reload.go
@@ -71,10 +71,10 @@
 	return []string{
 		fmt.Sprintf("%d proxies and the tool shared cores %v; %d backends were listed; %g calls/s through each proxy.",
 			p.proxies, cores, p.backends, p.rate),
-		"Time counts from the first signal, when all files have been replaced; the signals go out one after the other. How " +
-			"a file comes to its machine is not measured, and all files share one disk here.",
-		fmt.Sprintf("A change is in force at a proxy once it knows the class that only the changed settings have. It is asked "+
-			"every %v and given up after %v, which then stands for its time.", p.pollInterval, p.timeout),
-		"Bytes are those of the file that each proxy reads; nothing else travels here.",
+		"Time counts from the first signal, when all files have been replaced; the signals are sent one after the other. The " +
+			"transfer of a file to its machine is not measured, and all files share one disk here.",
+		fmt.Sprintf("A change is in force at a proxy once it knows the class that only the changed settings have. It is polled "+
+			"every %v for %v, which is the time of a proxy that does not know it by then.", p.pollInterval, p.timeout),
+		"Bytes are those of the file that each proxy reads.",
 	}
 }
--- a/internal/scale/reload/reload_test.go
+++ b/internal/scale/reload/reload_test.go
@@ -20,11 +20,11 @@
 			return f
 		}
 	}
-	t.Fatalf("there is no figure %q", quantity)
+	t.Fatalf("no figure %q", quantity)
 	panic("unreachable")
 }
 
-func TestAllProxiesTakeTheChanges(t *testing.T) {
+func TestRunAppliesChangesAtAllProxies(t *testing.T) {
 	env := scaletest.Env(t)
 	p := smallPlan()
 	p.proxies, p.rate = 3, 2
@@ -42,12 +42,12 @@
 		t.Errorf("got %+v", f)
 	}
 	if env.Budget.Processes() != 0 {
-		t.Errorf("%d processes are left", env.Budget.Processes())
+		t.Errorf("%d processes still run", env.Budget.Processes())
 	}
 }
 
 // A proxy that gets no signal stands for one that never applies a change.
-func TestAProxyThatTakesNothingIsCounted(t *testing.T) {
+func TestProxyWithoutReloadCountsAsNotInForce(t *testing.T) {
 	env := scaletest.Env(t)
 	p := smallPlan()
 	p.proxies, p.timeout = 1, 100*time.Millisecond
@@ -67,9 +67,9 @@
 	}
 }
 
-func TestTheRunEndsWithItsContext(t *testing.T) {
+func TestRunEndsWithContext(t *testing.T) {
 	env := scaletest.Env(t)
-	stop := errors.New("enough")
+	stop := errors.New("stopped by the test")
 	ctx, cancel := context.WithCancelCause(t.Context())
 	env.Progress = func(format string, _ ...any) {
 		if format == "change %d of %d" {
@@ -80,18 +80,30 @@
 		t.Errorf("got %v", err)
 	}
 	if env.Budget.Processes() != 0 {
-		t.Errorf("%d processes are left", env.Budget.Processes())
+		t.Errorf("%d processes still run", env.Budget.Processes())
 	}
 }
 
-func TestQuantiles(t *testing.T) {
+func TestQuantile(t *testing.T) {
 	sorted := []float64{1, 2, 3, 4}
-	for part, want := range map[float64]float64{0: 1, 0.25: 1, 0.5: 2, 0.51: 3, 0.99: 4, 1: 4} {
-		if got := quantile(sorted, part); got != want {
-			t.Errorf("%v: got %v, want %v", part, got, want)
-		}
-	}
-	if got := quantile(nil, 0.5); got != 0 {
-		t.Errorf("of none: %v", got)
+	for _, test := range []struct {
+		name   string
+		sorted []float64
+		part   float64
+		want   float64
+	}{
+		{"minimum", sorted, 0, 1},
+		{"first value", sorted, 0.25, 1},
+		{"median", sorted, 0.5, 2},
+		{"above median", sorted, 0.51, 3},
+		{"p99", sorted, 0.99, 4},
+		{"maximum", sorted, 1, 4},
+		{"no values", nil, 0.5, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := quantile(test.sorted, test.part); got != test.want {
+				t.Errorf("got %v, want %v", got, test.want)
+			}
+		})
 	}
 }
--- a/internal/scale/scaletest/scaletest.go
+++ b/internal/scale/scaletest/scaletest.go
@@ -42,8 +42,8 @@
 	return 1
 }
 
-// MainInMemory runs the tests of a package whose experiments run under synctest, on one thread, and returns the exit code.
-// The race detector's runtime can crash where thousands of goroutines move between threads (tsan_rtl.cpp:346).
+// MainInMemory runs the tests of a package whose experiments run under synctest, on one thread, and returns the exit
+// code. The race detector's runtime can crash where thousands of goroutines move between threads (tsan_rtl.cpp:346).
 func MainInMemory(m *testing.M) int {
 	runtime.GOMAXPROCS(1)
 	return m.Run()
--- a/internal/scale/slopes/measure.go
+++ b/internal/scale/slopes/measure.go
@@ -51,8 +51,8 @@
 func microseconds(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// measureAll measures all list sizes. Their proxies run at the same time and are measured in turn, in rounds up and down,
-// so that changes of the machine's speed do not bend the lines.
+// measureAll measures all list sizes. Their proxies run at the same time and are measured in turn, in rounds up and
+// down, so that changes of the machine's speed do not bend the lines.
 func measureAll(ctx context.Context, env scale.Env, p plan, m mode, cores []int) ([]*point, error) {
 	var subjects []*subject
 	defer func() {
@@ -68,7 +68,8 @@
 		subjects = append(subjects, s)
 	}
 	env.Progress("%s: restarts", m.name)
-	if err := forEachAlternating(subjects, p.starts, func(s *subject) error { return s.measureRestart(ctx) }); err != nil {
+	restart := func(s *subject) error { return s.measureRestart(ctx) }
+	if err := forEachAlternating(subjects, p.starts, restart); err != nil {
 		return nil, fmt.Errorf("restart: %w", err)
 	}
 	env.Progress("%s: idle", m.name)
@@ -161,12 +162,12 @@
 	s.point.add(changeCPU, microseconds(used.cpu)/changes)
 	s.point.add(changeBytes, float64(used.bytes)/changes)
 	if used, err = s.costOf(func() error { return s.requestSnapshots(ctx) }); err != nil {
-		return fmt.Errorf("whole lists: %w", err)
+		return fmt.Errorf("snapshots: %w", err)
 	}
-	whole := float64(s.plan.snapshots)
+	snapshots := float64(s.plan.snapshots)
 	used = used.minus(s.idle)
-	s.point.add(snapshotCPU, microseconds(used.cpu)/whole)
-	s.point.add(snapshotBytes, float64(used.bytes)/whole)
+	s.point.add(snapshotCPU, microseconds(used.cpu)/snapshots)
+	s.point.add(snapshotBytes, float64(used.bytes)/snapshots)
 	return nil
 }
 
@@ -189,19 +190,19 @@
 
 // measureCalls measures calls alone, and returns the CPU time of one.
 func (s *subject) measureCalls(ctx context.Context, client *traffic.Client) (time.Duration, error) {
-	var calls, notServed int
+	var calls, failed int
 	used, err := s.costOf(func() (err error) {
-		calls, notServed, err = s.load(ctx, client, s.plan.inUse)
+		calls, failed, err = s.load(ctx, client, s.plan.inUse)
 		return err
 	})
 	if err != nil {
 		return 0, err
 	}
-	if calls == notServed {
+	if calls == failed {
 		return 0, fmt.Errorf("none of %d was served", calls)
 	}
 	s.point.calls += calls
-	s.point.failed += notServed
+	s.point.failed += failed
 	cpu, bytes := used.perSecond()
 	perCall := used.minus(s.idle).cpu / time.Duration(calls)
 	s.point.add(useCPU, microseconds(cpu))
--- a/internal/scale/slopes/slopes.go
+++ b/internal/scale/slopes/slopes.go
@@ -1,5 +1,5 @@
-// Package slopes measures the cost of control for one real proxy as its endpoint list grows: memory, CPU time and bytes,
-// idle and in use, at four list sizes, and the line through them.
+// Package slopes measures the cost of control for one real proxy as its endpoint list grows: memory, CPU time and
+// bytes, idle and in use, at four list sizes, and the line through them.
 package slopes
 
 import (
@@ -58,7 +58,9 @@
 	if env.Small {
 		p = smallPlan()
 	}
-	return scale.WithSeparateCores(env.Cores, func(cores []int) (scale.Result, error) { return measureOn(ctx, env, p, cores) })
+	return scale.WithSeparateCores(env.Cores, func(cores []int) (scale.Result, error) {
+		return measureOn(ctx, env, p, cores)
+	})
 }
 
 // measureOn measures with the proxies on the given cores.
@@ -80,19 +82,19 @@
 
 func notes(p plan, proxyCores, allCores []int) []string {
 	list := []string{
-		fmt.Sprintf("The proxies, one for each size and each told of 1 core, 192 MB and 1,024 descriptors, ran on core %v, "+
-			"one in use at a time; the tool with discovery, clients and backends on the others of %v.", proxyCores, allCores),
+		fmt.Sprintf("The proxies, one for each size with limits of 1 core, 192 MB and 1,024 descriptors, ran on core %v, one "+
+			"in use at a time; the tool with discovery, clients and backends on the others of %v.", proxyCores, allCores),
 		"Bytes are those of discovery's application, headers included, in both directions; TCP and IP come on top. " +
-			"The stand-in's entries are as long as the real ones but for the type that these name.",
+			"The emulated service's entries are as long as the real ones, without their type.",
 		fmt.Sprintf("Medians of %d starts, and of %d rounds over all sizes, each with %d single changes, %v apart (a backend "+
-			"drains and comes back), %d whole lists, and %g calls/s (Poisson) for %v after %v of them. Idle was one while "+
+			"drains and returns), %d whole lists, and %g calls/s (Poisson) for %v after %v of them. Idle time is one period "+
 			"of %v.", p.starts, p.rounds, p.changes, p.changeInterval, p.snapshots, p.rate, p.inUse, p.warmUp, p.idle),
-		"Memory is all that is resident, the program's own pages and those for calls included: control is a part of it. " +
+		"Memory is all resident memory, that of the program itself and of calls included; control is a part of it. " +
 			"1 MB is a million bytes.",
-		"All names on a list have the address of one server in the tool, which answers at once.",
+		"All endpoints of a list have the address of one server in the tool, which responds at once.",
 	}
 	if len(allCores) < 2 {
-		list = append(list, "With one core the tool and the proxy shared it: the figures are disturbed.")
+		list = append(list, "The tool and the proxy shared one core, which affects the figures.")
 	}
 	return list
 }
--- a/internal/scale/slopes/slopes_test.go
+++ b/internal/scale/slopes/slopes_test.go
@@ -22,7 +22,7 @@
 	return p
 }
 
-func TestEveryPointHasItsFigures(t *testing.T) {
+func TestMeasureAllGivesSamplesOfEverySize(t *testing.T) {
 	for _, m := range modes() {
 		env, p := scaletest.Env(t), shortPlan()
 		points, err := measureAll(t.Context(), env, p, m, nil)
@@ -39,7 +39,7 @@
 			checkSamples(t, p, at)
 		}
 		if env.Budget.Processes() != 0 {
-			t.Errorf("%s: %d processes are left", m.name, env.Budget.Processes())
+			t.Errorf("%s: %d processes still run", m.name, env.Budget.Processes())
 		}
 	}
 }
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestTurnsGoUpAndDown(t *testing.T) {
+func TestForEachAlternatingReversesEveryOtherRound(t *testing.T) {
 	var subjects []*subject
 	for size := range 3 {
 		subjects = append(subjects, &subject{point: point{size: size}})
@@ -82,20 +82,20 @@
 	}
 }
 
-func TestTheRunEndsWithItsContext(t *testing.T) {
+func TestRunEndsWithContext(t *testing.T) {
 	env := scaletest.Env(t)
-	stop := errors.New("enough")
+	stop := errors.New("stopped by the test")
 	ctx, cancel := context.WithCancelCause(t.Context())
 	env.Progress = func(string, ...any) { cancel(stop) }
 	if _, err := Experiment.Run(ctx, env); !errors.Is(err, stop) {
 		t.Errorf("got %v", err)
 	}
 	if env.Budget.Processes() != 0 {
-		t.Errorf("%d processes are left", env.Budget.Processes())
+		t.Errorf("%d processes still run", env.Budget.Processes())
 	}
 }
 
-func TestFiguresHoldTheLine(t *testing.T) {
+func TestFiguresIncludeFittedLine(t *testing.T) {
 	var points []*point
 	for _, size := range []int{33, 100, 330, 970} {
 		p := &point{size: size}
@@ -122,7 +122,7 @@
 			return f.Case == want.Case && f.Quantity == want.Quantity
 		})
 		if at < 0 {
-			t.Errorf("there is no %s, %s", want.Case, want.Quantity)
+			t.Errorf("no figure %s, %s", want.Case, want.Quantity)
 			continue
 		}
 		got := figures[at]
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestABaseIsTakenOffInProportion(t *testing.T) {
+func TestCostMinusScalesBaseToSameTime(t *testing.T) {
 	base := cost{elapsed: 2 * time.Second, cpu: 4 * time.Millisecond, bytes: 200}
 	used := cost{elapsed: 3 * time.Second, cpu: 10 * time.Millisecond, bytes: 1000}
 	want := cost{elapsed: 3 * time.Second, cpu: 4 * time.Millisecond, bytes: 700}
--- a/internal/scale/slopes/subject.go
+++ b/internal/scale/slopes/subject.go
@@ -58,7 +58,8 @@
 		s.backend.Close()
 		return nil, err
 	}
-	if err := s.listen(m, cores, registry.Location{Name: fmt.Sprintf("proxy-%d", size), Zone: zone, Region: region}); err != nil {
+	location := registry.Location{Name: fmt.Sprintf("proxy-%d", size), Zone: zone, Region: region}
+	if err := s.listen(m, cores, location); err != nil {
 		s.close()
 		return nil, err
 	}
@@ -205,18 +206,24 @@
 }
 
 // load generates calls through the proxy, and returns their number and how many of them failed.
-func (s *subject) load(ctx context.Context, client *traffic.Client, length time.Duration) (calls, notServed int, err error) {
-	var failed atomic.Int64
+func (s *subject) load(
+	ctx context.Context, client *traffic.Client, length time.Duration,
+) (calls, failed int, err error) {
+	var failures atomic.Int64
 	prefix := strconv.FormatUint(s.random.Uint64(), 16) + "-"
 	calls, err = traffic.OpenLoop(ctx, s.plan.rate, length, s.random, func(number int, _ time.Time) {
-		err := client.Call(traffic.Call{ID: prefix + strconv.Itoa(number), Class: scale.ReadClass, Tenant: scale.TenantA,
-			TimeoutMs: callTimeout})
+		err := client.Call(traffic.Call{
+			ID:        prefix + strconv.Itoa(number),
+			Class:     scale.ReadClass,
+			Tenant:    scale.TenantA,
+			TimeoutMs: callTimeout,
+		})
 		if err != nil {
-			failed.Add(1)
+			failures.Add(1)
 			s.env.Log.Info("call not served", "error", err)
 		}
 	})
-	return calls, int(failed.Load()), err
+	return calls, int(failures.Load()), err
 }
 
 // watermark is the highest number of a change that the proxy has applied.
@@ -252,7 +259,7 @@
 		select {
 		case <-w.changed:
 		case <-late.C:
-			return fmt.Errorf("the proxy did not ask from change %d on within %v", number, appliedTimeout)
+			return fmt.Errorf("the proxy did not apply change %d within %v", number, appliedTimeout)
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		}
--- a/internal/scale/table.go
+++ b/internal/scale/table.go
@@ -72,9 +72,9 @@
 	if commit == "" {
 		commit = "unknown"
 	}
-	return fmt.Sprintf("%s%s: %s, commit %s, seed %d, took %v, cores %v of %d (%s, %s)", r.Experiment, form,
-		r.Started.UTC().Format(time.RFC3339), commit, r.Seed, r.Duration.Round(displayPrecision), r.Machine.Allowed, r.Machine.Cores,
-		r.Machine.System, r.Machine.Go)
+	return fmt.Sprintf("%s%s: %s, commit %s, seed %d, took %v, cores %v of %d (%s, %s)",
+		r.Experiment, form, r.Started.UTC().Format(time.RFC3339), commit, r.Seed, r.Duration.Round(displayPrecision),
+		r.Machine.Allowed, r.Machine.Cores, r.Machine.System, r.Machine.Go)
 }
 
 // cells returns a figure's columns.
--- a/internal/scale/traffic/backend.go
+++ b/internal/scale/traffic/backend.go
@@ -1,5 +1,5 @@
-// Package traffic generates real traffic over loopback for experiments: backends that respond at once or after a call to
-// the next tier, clients with persistent connections, and an open-loop load generator.
+// Package traffic generates real traffic over loopback for experiments: backends that respond at once or after a call
+// to the next tier, clients with persistent connections, and an open-loop load generator.
 package traffic
 
 import (
--- a/internal/scale/traffic/client.go
+++ b/internal/scale/traffic/client.go
@@ -28,8 +28,8 @@
 // Error gives the status.
 func (e StatusError) Error() string { return "answered with " + strconv.Itoa(e.Status) }
 
-// Client makes calls to one address. It reuses the connection that was used last, and opens another when all are busy, as
-// the clients of a proxy do. Any number of goroutines may use it at once.
+// Client makes calls to one address. It reuses the connection that was used last, and opens another when all are
+// busy, as the clients of a proxy do. Any number of goroutines may use it at once.
 type Client struct {
 	address string
 	mu      sync.Mutex
--- a/internal/scale/traffic/openloop.go
+++ b/internal/scale/traffic/openloop.go
@@ -16,8 +16,8 @@
 )
 
 // OpenLoop starts calls at predetermined times, a Poisson process with the given rate a second, regardless of earlier
-// calls: a slow response delays no other call, and latency counted from the intended time includes all waiting. It returns
-// the number of calls once the last one has ended.
+// calls: a slow response delays no other call, and latency counted from the intended time includes all waiting. It
+// returns the number of calls once the last one has ended.
 func OpenLoop(ctx context.Context, rate float64, length time.Duration, random *rand.Rand,
 	call func(number int, intended time.Time)) (int, error) {
 	calls := newOpenCalls()
--- a/internal/scale/traffic/traffic_test.go
+++ b/internal/scale/traffic/traffic_test.go
@@ -29,7 +29,7 @@
 	return Call{ID: id, Class: "read", Tenant: "tenant-a", TimeoutMs: 60_000}
 }
 
-func TestACallGoesThroughTheTiers(t *testing.T) {
+func TestCallPassesAllTiers(t *testing.T) {
 	last := startBackend(t, nil)
 	middle := startBackend(t, NewClient(last.Address))
 	first := startBackend(t, NewClient(middle.Address))
@@ -47,18 +47,18 @@
 		}
 	}
 	if client.Opened() != 1 {
-		t.Errorf("%d connections for calls one after the other", client.Opened())
+		t.Errorf("%d connections for consecutive calls", client.Opened())
 	}
 	last.Close()
 	if err := client.Call(call("1")); err != (StatusError{http.StatusInternalServerError}) {
 		t.Errorf("without the last tier: %v", err)
 	}
 	if err := client.Call(call("")); err != (StatusError{http.StatusNotFound}) {
-		t.Errorf("without an id: %v", err)
+		t.Errorf("without an ID: %v", err)
 	}
 }
 
-func TestAKeptConnectionMayHaveBeenClosed(t *testing.T) {
+func TestClientReopensClosedConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -90,11 +90,11 @@
 	}
 	listener.Close()
 	if err := client.Call(call("1")); err == nil {
-		t.Error("a call that nobody answers is no error")
+		t.Error("no error without a listener")
 	}
 }
 
-func TestASilentServerIsGivenUp(t *testing.T) {
+func TestClientCallToSilentServerTimesOut(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -102,15 +102,15 @@
 	defer listener.Close()
 	client := NewClient(listener.Addr().String())
 	defer client.Close()
-	hurried := call("1")
-	hurried.TimeoutMs = 1
-	if err := client.Call(hurried); !errors.Is(err, errTimeout) {
+	c := call("1")
+	c.TimeoutMs = 1
+	if err := client.Call(c); !errors.Is(err, errTimeout) {
 		t.Errorf("got %v", err)
 	}
 }
 
 // The calls wait for each other, so they would never end if one had to wait for those before it.
-func TestLoadDoesNotWaitForAnswers(t *testing.T) {
+func TestOpenLoopDoesNotWaitForResponses(t *testing.T) {
 	const rate, length = 2000, 50 * time.Millisecond
 	draw := func() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 	want := 0
@@ -119,7 +119,7 @@
 			break
 		}
 	}
-	var begun atomic.Int64
+	var started atomic.Int64
 	all := make(chan struct{})
 	var mu sync.Mutex
 	intended := map[int]time.Time{}
@@ -127,7 +127,7 @@
 		mu.Lock()
 		intended[number] = at
 		mu.Unlock()
-		if begun.Add(1) == int64(want) {
+		if started.Add(1) == int64(want) {
 			close(all)
 		}
 		<-all
@@ -137,13 +137,13 @@
 	}
 	for i := 1; i < want; i++ {
 		if !intended[i].After(intended[i-1]) {
-			t.Errorf("call %d is meant for %v, the one before for %v", i, intended[i], intended[i-1])
+			t.Errorf("call %d is intended for %v, the one before for %v", i, intended[i], intended[i-1])
 		}
 	}
 }
 
-func TestLoadEndsWithItsContext(t *testing.T) {
-	stop := errors.New("enough")
+func TestOpenLoopEndsWithContext(t *testing.T) {
+	stop := errors.New("stopped by the test")
 	ctx, cancel := context.WithCancelCause(t.Context())
 	calls, err := OpenLoop(ctx, 1000, time.Hour, rand.New(rand.NewPCG(1, 1)), func(number int, _ time.Time) {
 		if number == 3 {
@@ -155,7 +155,7 @@
 	}
 }
 
-func TestOpenCallsHaveABound(t *testing.T) {
+func TestOpenCallsAreLimited(t *testing.T) {
 	calls := newOpenCalls()
 	release := make(chan struct{})
 	for range maxOpenCalls {
