--- a/internal/scale/depth/chain.go
+++ b/internal/scale/depth/chain.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	work    = 2 * time.Millisecond // mean of one backend's own part of a call
+	work    = 2 * time.Millisecond // mean service time of one backend, without the next tier's
 	latency = 200 * time.Microsecond
-	workers = 32 // calls that a backend has at once, those that wait for the next tier included
+	workers = 32 // calls served at once, those included that wait for the next tier
 	queue   = 32
 )
 
@@ -24,62 +24,90 @@
 
 // The classes of calls.
 const (
-	safeClass = iota
+	idempotentClass = iota
 	keyedClass
-	unsafeClass
+	nonIdempotentClass
 )
 
-var classNames = []string{safeClass: "safe", keyedClass: "keyed", unsafeClass: "unsafe"}
+var classNames = []string{idempotentClass: "safe", keyedClass: "keyed", nonIdempotentClass: "unsafe"}
 
 var classes = []balancer.Class{
-	safeClass:   {LatencyObjective: 300_000, Deadline: 1_000_000, PriorityWeight: 1, LateFraction: 0.25, Idempotency: balancer.Idempotent},
-	keyedClass:  {LatencyObjective: 300_000, Deadline: 1_000_000, PriorityWeight: 1, LateFraction: 0.25, Idempotency: balancer.IdempotentWithKey, DedupWindow: 2_000_000},
-	unsafeClass: {LatencyObjective: 300_000, Deadline: 1_000_000, PriorityWeight: 1, LateFraction: 0.25, Idempotency: balancer.NotIdempotent},
+	idempotentClass:    newClass(balancer.Idempotent, 0),
+	keyedClass:         newClass(balancer.IdempotentWithKey, 2_000_000),
+	nonIdempotentClass: newClass(balancer.NotIdempotent, 0),
 }
 
-// settings are those of a proxy that sends to the tier after stage. No retry budget is stated, so that the module keeps
-// its own.
-func settings(stage, siblings, ordinal int) balancer.Settings {
-	return balancer.Settings{Tier: stage, Replicas: siblings, ReplicaIndex: ordinal, Zone: ordinal % len(zones), Zones: len(zones),
-		Classes: classes, MaxAttempts: 4, MaxRetryAfter: 2_000_000, DrainGrace: 300_000,
-		SlowStartCapacity: 0.3, SlowStartOverload: 3, SlowStartDuration: 8_000_000}
+func newClass(idempotency balancer.Idempotency, dedupWindow balancer.Microseconds) balancer.Class {
+	return balancer.Class{
+		LatencyObjective: 300_000,
+		Deadline:         1_000_000,
+		PriorityWeight:   1,
+		LateFraction:     0.25,
+		Idempotency:      idempotency,
+		DedupWindow:      dedupWindow,
+	}
+}
+
+// settings returns the settings of a proxy. No retry budget is stated, so the balancer's own applies.
+func settings(tier, replicas, replicaIndex int) balancer.Settings {
+	return balancer.Settings{
+		Tier:              tier,
+		Replicas:          replicas,
+		ReplicaIndex:      replicaIndex,
+		Zone:              replicaIndex % len(zones),
+		Zones:             len(zones),
+		Classes:           classes,
+		MaxAttempts:       4,
+		MaxRetryAfter:     2_000_000,
+		DrainGrace:        300_000,
+		SlowStartCapacity: 0.3,
+		SlowStartOverload: 3,
+		SlowStartDuration: 8_000_000,
+	}
 }
 
-// chain is tiers of backends, one behind the other, with proxies in front of the first and one at each backend but the
-// last tier's.
+// chain is a sequence of tiers of backends, with proxies in front of the first tier and one at each backend, except
+// those of the last tier.
 type chain struct {
-	tiers   []*backend.Tier
-	fronts  []*hollow.Proxy
-	proxies []*hollow.Proxy // all of them
+	tiers        []*backend.Tier
+	frontProxies []*hollow.Proxy
+	proxies      []*hollow.Proxy // all of them, the front ones included
 }
 
 func newChain(s size, seed uint64) (*chain, error) {
 	seeds := rand.New(rand.NewPCG(seed, 0))
 	c := &chain{}
 	for number := 1; number <= s.tiers; number++ {
-		tier, err := backend.New(backend.Config{Names: backendNames(number, s.backends), Classes: classes, Work: work,
-			Latency: latency, Workers: workers, Queue: queue, Seed: seeds.Uint64()})
+		tier, err := backend.New(backend.Config{
+			Names:   backendNames(number, s.backends),
+			Classes: classes,
+			Work:    work,
+			Latency: latency,
+			Workers: workers,
+			Queue:   queue,
+			Seed:    seeds.Uint64(),
+		})
 		if err != nil {
 			return nil, err
 		}
 		c.tiers = append(c.tiers, tier)
 	}
-	for stage, tier := range c.tiers {
-		senders := s.fronts
-		if stage > 0 {
+	for index, tier := range c.tiers {
+		senders := s.frontProxies
+		if index > 0 {
 			senders = s.backends
 		}
-		proxies, err := newProxies(stage, senders, s.backends, tier, seeds)
+		proxies, err := newProxies(index, senders, s.backends, tier, seeds)
 		if err != nil {
 			return nil, err
 		}
 		c.proxies = append(c.proxies, proxies...)
-		if stage == 0 {
-			c.fronts = proxies
+		if index == 0 {
+			c.frontProxies = proxies
 			continue
 		}
-		for i, name := range backendNames(stage, s.backends) {
-			if err := c.tiers[stage-1].Connect(name, proxies[i]); err != nil {
+		for i, name := range backendNames(index, s.backends) {
+			if err := c.tiers[index-1].Connect(name, proxies[i]); err != nil {
 				return nil, err
 			}
 		}
@@ -87,13 +115,19 @@
 	return c, nil
 }
 
-// newProxies returns the proxies that send to a tier. They know its backends from the start.
-func newProxies(stage, senders, backends int, tier *backend.Tier, seeds *rand.Rand) ([]*hollow.Proxy, error) {
-	known := tierList(stage+1, backends)
+// newProxies returns the proxies that send to a tier, and know its backends from the start.
+func newProxies(index, senders, backends int, tier *backend.Tier, seeds *rand.Rand) ([]*hollow.Proxy, error) {
+	known := tierList(index+1, backends)
 	var proxies []*hollow.Proxy
 	for i := range senders {
-		p, err := hollow.New(hollow.Config{Name: fmt.Sprintf("proxy-%d-%d", stage, i), Settings: settings(stage, senders, i),
-			Zones: zones, Seed: seeds.Uint64(), Known: known, Upstream: tier})
+		p, err := hollow.New(hollow.Config{
+			Name:     fmt.Sprintf("proxy-%d-%d", index, i),
+			Settings: settings(index, senders, i),
+			Zones:    zones,
+			Seed:     seeds.Uint64(),
+			Known:    known,
+			Upstream: tier,
+		})
 		if err != nil {
 			return nil, err
 		}
@@ -102,7 +136,7 @@
 	return proxies, nil
 }
 
-// backendNames are the backends of a tier, counted from 1.
+// backendNames returns the names of the backends of a tier; tiers count from 1.
 func backendNames(tier, backends int) []string {
 	var names []string
 	for i := range backends {
@@ -120,10 +154,10 @@
 	return list
 }
 
-// deepest is the last tier.
+// deepest returns the last tier.
 func (c *chain) deepest() *backend.Tier { return c.tiers[len(c.tiers)-1] }
 
-// run runs all proxies until the context ends, and returns when they have.
+// run runs all proxies until the context ends, and returns when they have ended.
 func (c *chain) run(ctx context.Context) {
 	var running sync.WaitGroup
 	for _, p := range c.proxies {
--- a/internal/scale/depth/depth_test.go
+++ b/internal/scale/depth/depth_test.go
@@ -18,26 +18,26 @@
 
 func TestMain(m *testing.M) { os.Exit(scaletest.MainInMemory(m)) }
 
-// testSize is what the tests play: the whole depth, with few backends.
-var testSize = size{tiers: 13, backends: 2, fronts: 2, rate: 60,
-	settle: 2 * time.Second, trouble: 3 * time.Second, recovery: 3 * time.Second}
+// testSize has the full depth, with few backends.
+var testSize = size{tiers: 13, backends: 2, frontProxies: 2, rate: 60,
+	settle: 2 * time.Second, fault: 3 * time.Second, recovery: 3 * time.Second}
 
-// playOnce plays one chain on a clock of its own.
-func playOnce(t *testing.T, s size, faults backend.Faults) (r *record) {
+// simulateOnce simulates one chain in a synctest bubble.
+func simulateOnce(t *testing.T, s size, faults backend.Faults) (r *recording) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		var err error
-		if r, err = play(t.Context(), s, faults, testSeed); err != nil {
+		if r, err = simulate(t.Context(), s, faults, testSeed); err != nil {
 			t.Fatal(err)
 		}
 	})
 	return r
 }
 
-func TestWithoutTrouble(t *testing.T) {
-	r := playOnce(t, testSize, backend.Faults{})
+func TestChainWithoutFaultServesAllCalls(t *testing.T) {
+	r := simulateOnce(t, testSize, backend.Faults{})
 	sum := summarize(testSize, r)
-	if sum.answered < 0.99 || !sum.recovered || sum.recovery != 0 {
+	if sum.served < 0.99 || !sum.recovered || sum.recovery != 0 {
 		t.Errorf("summary %+v", sum)
 	}
 	for i, c := range r.counts {
@@ -47,80 +47,80 @@
 	}
 }
 
-func TestFailuresOfTheDeepestTier(t *testing.T) {
+func TestChainWithFailingTierStaysWithinRetryBudgets(t *testing.T) {
 	faults := backend.Faults{ErrorRatio: 1}
-	r := playOnce(t, testSize, faults)
+	r := simulateOnce(t, testSize, faults)
 	checkBudgets(t, testSize, r)
 	sum := summarize(testSize, r)
-	if sum.answered > 0.05 {
-		t.Errorf("%.3f of the calls were answered, though the deepest tier fails", sum.answered)
+	if sum.served > 0.05 {
+		t.Errorf("%.3f of the calls were served, though the deepest tier fails", sum.served)
 	}
-	if sum.growth < 1.5 {
-		t.Errorf("%.2f attempts at the deepest tier for one at the first: hardly any call is repeated", sum.growth)
+	if sum.amplification < 1.5 {
+		t.Errorf("%.2f attempts at the deepest tier for one at the first: hardly any retries", sum.amplification)
 	}
-	if again := playOnce(t, testSize, faults); !reflect.DeepEqual(r, again) {
-		t.Errorf("two plays of one seed differ:\n%+v\n%+v", sum, summarize(testSize, again))
+	if again := simulateOnce(t, testSize, faults); !reflect.DeepEqual(r, again) {
+		t.Errorf("two runs with one seed differ:\n%+v\n%+v", sum, summarize(testSize, again))
 	}
 }
 
-func TestStallsOfTheDeepestTier(t *testing.T) {
+func TestChainWithStalledTierStaysWithinRetryBudgets(t *testing.T) {
 	faults := backend.Faults{StallRatio: 1}
-	r := playOnce(t, testSize, faults)
+	r := simulateOnce(t, testSize, faults)
 	checkBudgets(t, testSize, r)
 	sum := summarize(testSize, r)
-	if sum.answered > 0.05 {
-		t.Errorf("%.3f of the calls were answered, though the deepest tier stalls", sum.answered)
+	if sum.served > 0.05 {
+		t.Errorf("%.3f of the calls were served, though the deepest tier stalls", sum.served)
 	}
 	if r.counts[len(r.counts)-1].Cancelled == 0 {
-		t.Error("no attempt at the deepest tier was given up")
+		t.Error("no attempt at the deepest tier was cancelled")
 	}
-	if again := playOnce(t, testSize, faults); !reflect.DeepEqual(r, again) {
-		t.Errorf("two plays of one seed differ:\n%+v\n%+v", sum, summarize(testSize, again))
+	if again := simulateOnce(t, testSize, faults); !reflect.DeepEqual(r, again) {
+		t.Errorf("two runs with one seed differ:\n%+v\n%+v", sum, summarize(testSize, again))
 	}
 }
 
-// checkBudgets holds what each tier got against the module's own retry budget: over 10 s a proxy makes at most 5
-// attempts, and one for each ten calls that it takes, beyond the calls' first ones.
-func checkBudgets(t *testing.T, s size, r *record) {
+// checkBudgets checks each tier's attempts against the balancer's own retry budget: over 10 s, a proxy makes at most 5
+// further attempts, and one for each ten of its calls.
+func checkBudgets(t *testing.T, s size, r *recording) {
 	t.Helper()
 	const (
-		share = 0.1
-		free  = 5
-		span  = 10 * time.Second
+		ratio   = 0.1
+		minimum = 5
+		window  = 10 * time.Second
 	)
-	longest := s.end() + classes[safeClass].Deadline.Duration()
-	spans := math.Ceil(longest.Seconds() / span.Seconds())
-	taken, senders := float64(len(r.calls)), s.fronts
+	longest := s.end() + classes[idempotentClass].Deadline.Duration()
+	windows := math.Ceil(longest.Seconds() / window.Seconds())
+	calls, senders := float64(len(r.calls)), s.frontProxies
 	for i, c := range r.counts {
-		most := (1+share)*taken + free*spans*float64(senders)
-		if got := float64(c.Arrivals); got > most {
-			t.Errorf("tier %d got %v attempts; the budgets allow %v for the %v calls before it", i+1, got, most, taken)
+		limit := (1+ratio)*calls + minimum*windows*float64(senders)
+		if got := float64(c.Arrivals); got > limit {
+			t.Errorf("tier %d got %v attempts; the budgets allow %v for the %v calls before it", i+1, got, limit, calls)
 		}
 		if c.ForbiddenRuns != 0 {
 			t.Errorf("tier %d ran %d calls again though their class forbids it", i+1, c.ForbiddenRuns)
 		}
-		taken, senders = float64(c.Arrivals), s.backends
+		calls, senders = float64(c.Arrivals), s.backends
 	}
-	unsafeCalls := int64(0)
+	nonIdempotentCalls := int64(0)
 	for _, u := range r.calls {
-		if u.class == unsafeClass {
-			unsafeCalls++
+		if u.class == nonIdempotentClass {
+			nonIdempotentCalls++
 		}
 	}
 	deepest := r.counts[len(r.counts)-1]
-	if got := deepest.ArrivalsByClass[unsafeClass]; got > unsafeCalls { // no queue was full
-		t.Errorf("%d unsafe attempts at the deepest tier for %d calls", got, unsafeCalls)
+	if got := deepest.ArrivalsByClass[nonIdempotentClass]; got > nonIdempotentCalls { // no queue was full
+		t.Errorf("%d attempts of non-idempotent calls at the deepest tier for %d calls", got, nonIdempotentCalls)
 	}
 }
 
-func TestExperiment(t *testing.T) {
+func TestRunGivesFiguresOfEveryTier(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		result, err := Experiment.Run(t.Context(), scaletest.EnvInMemory(testSeed))
 		if err != nil {
 			t.Fatal(err)
 		}
 		seen := scaletest.CheckFigures(t, result.Figures, scale.HollowProxy)
-		for _, c := range troubles {
+		for _, c := range faultCases {
 			if !seen[scaletest.FigureName{Case: c.name, Quantity: "attempts at tier 13 for a call"}] {
 				t.Errorf("no figure of tier 13 in the case %q", c.name)
 			}
@@ -128,38 +128,41 @@
 	})
 }
 
-func TestEndOfContext(t *testing.T) { scaletest.CheckEndOfContext(t, Experiment, testSeed) }
+func TestRunEndsWithContext(t *testing.T) { scaletest.CheckEndOfContext(t, Experiment, testSeed) }
 
-// callsEvery makes calls of one outcome.
+// callsEvery returns calls with one outcome.
 func callsEvery(gap, from, to time.Duration, outcome hollow.Outcome) (calls []*userCall) {
 	for at := from; at < to; at += gap {
-		calls = append(calls, &userCall{begun: at, outcome: outcome, inTime: outcome == hollow.Served})
+		calls = append(calls, &userCall{start: at, outcome: outcome, inTime: outcome == hollow.Served})
 	}
 	return calls
 }
 
-func TestRecovery(t *testing.T) {
-	const end, watched = 5 * time.Second, 10 * time.Second
-	for name, c := range map[string]struct {
-		failing   time.Duration // calls fail so long after the trouble
+func TestRecordingRecoveryTime(t *testing.T) {
+	const end, recorded = 5 * time.Second, 10 * time.Second
+	for _, test := range []struct {
+		name      string
+		failing   time.Duration // time after the fault until calls are served
 		recovered bool
 		after     time.Duration
 	}{
-		"at once":  {0, true, 0},
-		"later":    {1500 * time.Millisecond, true, 1500 * time.Millisecond},
-		"too late": {4500 * time.Millisecond, false, 5 * time.Second},
+		{"at once", 0, true, 0},
+		{"later", 1500 * time.Millisecond, true, 1500 * time.Millisecond},
+		{"too late", 4500 * time.Millisecond, false, 5 * time.Second},
 	} {
-		r := &record{calls: callsEvery(10*time.Millisecond, 0, end+c.failing, hollow.Rejected)}
-		r.calls = append(r.calls, callsEvery(10*time.Millisecond, end+c.failing, watched, hollow.Served)...)
-		if ok, after := r.recovery(end, watched); ok != c.recovered || after != c.after {
-			t.Errorf("%s: recovered %v after %v", name, ok, after)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			r := &recording{calls: callsEvery(10*time.Millisecond, 0, end+test.failing, hollow.Rejected)}
+			r.calls = append(r.calls, callsEvery(10*time.Millisecond, end+test.failing, recorded, hollow.Served)...)
+			if recovered, after := r.recovery(end, recorded); recovered != test.recovered || after != test.after {
+				t.Errorf("recovered %v after %v, want %v after %v", recovered, after, test.recovered, test.after)
+			}
+		})
 	}
 }
 
-func TestSummary(t *testing.T) {
-	s := size{settle: time.Second, trouble: 2 * time.Second, recovery: time.Second}
-	r := &record{
+func TestSummarizeRecording(t *testing.T) {
+	s := size{settle: time.Second, fault: 2 * time.Second, recovery: time.Second}
+	r := &recording{
 		calls: append(callsEvery(100*time.Millisecond, 0, 2*time.Second, hollow.Served),
 			append(callsEvery(100*time.Millisecond, 2*time.Second, 2500*time.Millisecond, hollow.Rejected),
 				callsEvery(100*time.Millisecond, 2500*time.Millisecond, 4*time.Second, hollow.Failed)...)...),
@@ -172,8 +175,8 @@
 		},
 	}
 	got := summarize(s, r)
-	want := summary{calls: 20, perTier: []float64{1, 2}, worstSecond: 3, growth: 2, lateGrowth: 1, perClass: []float64{2, 0, 0},
-		answered: 0.5, refused: 0.25, fails: 0.25, recovery: time.Second}
+	want := summary{calls: 20, perTier: []float64{1, 2}, worstSecond: 3, amplification: 2, lateAmplification: 1, perClass: []float64{2, 0, 0},
+		served: 0.5, rejected: 0.25, failed: 0.25, recovery: time.Second}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
--- a/internal/scale/propagation/tracker_test.go
+++ b/internal/scale/propagation/tracker_test.go
@@ -11,7 +11,7 @@
 
 const testList = "service-00"
 
-// trackerTest drives a tracker by hand.
+// trackerTest tests a tracker with updates of its own.
 type trackerTest struct {
 	*testing.T
 	tracker *tracker
@@ -19,9 +19,10 @@
 }
 
 func newTrackerTest(t *testing.T, backends ...string) *trackerTest {
+	t.Helper()
 	tt := &trackerTest{T: t, tracker: newTracker(), start: time.Now()}
 	for _, name := range backends {
-		tt.tracker.preset(serving(name, 0))
+		tt.tracker.setInitial(serving(name, 0))
 	}
 	return tt
 }
@@ -36,8 +37,9 @@
 }
 
 func (tt *trackerTest) watcher(zone, region string) *watcher {
+	tt.Helper()
 	w := &watcher{list: testList, location: registry.Location{Zone: zone, Region: region}}
-	tt.tracker.join(w)
+	tt.tracker.addWatcher(w)
 	w.startedAt = tt.start
 	return w
 }
@@ -51,22 +53,23 @@
 }
 
 func (tt *trackerTest) apply(w *watcher, after time.Duration, snapshot bool, entries ...discovery.Endpoint) {
+	tt.Helper()
 	list := &discovery.List{Snapshot: snapshot, Endpoints: entries}
 	tt.tracker.applied(w, list, tt.start.Add(after))
 }
 
-// want checks how many changes are still open and the worst time of those that are not, in seconds.
-func (tt *trackerTest) want(open int, worst float64) {
+// want checks the number of pending changes and the worst time of the others, in seconds.
+func (tt *trackerTest) want(pending int, worst float64) {
 	tt.Helper()
-	if got := tt.tracker.open; got != open {
-		tt.Errorf("%d changes are open, want %d", got, open)
+	if got := tt.tracker.pending; got != pending {
+		tt.Errorf("%d changes are pending, want %d", got, pending)
 	}
 	if got := tt.tracker.times.inForce.quantile(1); got < 0.999*worst || got > 1.001*worst {
 		tt.Errorf("worst time %v s, want %v", got, worst)
 	}
 }
 
-func TestChangeIsInForceAtTheLastProxy(t *testing.T) {
+func TestTrackerChangeIsInForceAtLastProxy(t *testing.T) {
 	tt := newTrackerTest(t, "a")
 	one, other := tt.watcher("zone-1", east), tt.watcher("zone-2", east)
 	for _, w := range []*watcher{one, other} {
@@ -75,13 +78,13 @@
 	drained := withStatus(serving("a", 0), discovery.Draining)
 	tt.publish(time.Second, east, drained)
 	tt.apply(one, 1100*time.Millisecond, false, drained)
-	tt.apply(other, 1200*time.Millisecond, false) // nothing new
+	tt.apply(other, 1200*time.Millisecond, false) // no change
 	tt.want(1, 0)
 	tt.apply(other, 1500*time.Millisecond, false, drained)
 	tt.want(0, 0.5)
 }
 
-func TestLaterStateOfAnEndpointHasTheEarlierChangesToo(t *testing.T) {
+func TestTrackerLaterStateIncludesEarlierChanges(t *testing.T) {
 	tt := newTrackerTest(t, "a")
 	w := tt.watcher("zone-1", east)
 	tt.apply(w, 0, true, serving("a", 0))
@@ -95,7 +98,7 @@
 	tt.want(0, 3)
 }
 
-func TestOutageCountsFromTheReturnForThoseCutOff(t *testing.T) {
+func TestTrackerOutageCountsFromRecovery(t *testing.T) {
 	tt := newTrackerTest(t, "a", "b")
 	near, far := tt.watcher("zone-1", east), tt.watcher("zone-4", west)
 	for _, w := range []*watcher{near, far} {
@@ -112,20 +115,20 @@
 		t.Errorf("the uncorrected time is %v s", got)
 	}
 	again := serving("b", 61000)
-	tt.publish(61*time.Second, east, again) // after the return all count alike
+	tt.publish(61*time.Second, east, again) // after the outage all count alike
 	tt.apply(near, 61100*time.Millisecond, false, again)
 	tt.apply(far, 62*time.Second, false, again)
 	tt.want(0, 1)
 }
 
-func TestRestartedProxyIsCountedFromItsStart(t *testing.T) {
+func TestTrackerRestartedProxyCountsFromStart(t *testing.T) {
 	tt := newTrackerTest(t, "a")
 	w := tt.watcher("zone-1", east)
 	tt.apply(w, 0, true, serving("a", 0))
 	changed := serving("a", 1000)
 	tt.publish(time.Second, east, changed)
 	tt.tracker.timeStarts()
-	tt.tracker.join(w)
+	tt.tracker.addWatcher(w)
 	w.startedAt = tt.start.Add(3 * time.Second)
 	tt.apply(w, 3100*time.Millisecond, true, changed)
 	tt.want(0, 0.1)
@@ -137,7 +140,7 @@
 	}
 }
 
-func TestStartWithoutAListIsTimed(t *testing.T) {
+func TestTrackerStartWithoutListIsTimed(t *testing.T) {
 	tt := newTrackerTest(t, "a")
 	tt.tracker.timeStarts()
 	w := tt.watcher("zone-1", east)
@@ -147,8 +150,8 @@
 	}
 }
 
-func TestChangerGoesThroughAllBackends(t *testing.T) {
-	c := newChanger(rand.New(rand.NewPCG(1, 1)))
+func TestChangeGeneratorChangesEveryBackendInTurn(t *testing.T) {
+	c := newChangeGenerator(rand.New(rand.NewPCG(1, 1)))
 	const backends = 30
 	for i := range backends {
 		c.add(testList, serving(string(rune('A'+i)), 0))
@@ -159,7 +162,7 @@
 		seen := map[string]bool{}
 		for i := range backends {
 			now := time.UnixMilli(int64(1 + round*backends + i))
-			_, e := c.draw(now)
+			_, e := c.nextChange(now)
 			if seen[e.Name] {
 				t.Fatalf("round %d changes %s twice", round, e.Name)
 			}
