--- a/internal/proxy/console.go
+++ b/internal/proxy/console.go
@@ -66,9 +66,11 @@
 func (e *callError) Error() string { return e.reason }
 
 func newAdminServer(operations Operations, log *slog.Logger) *adminServer {
-	// Without a RequestGrace incomplete calls are evicted, however new.
-	connections := clientconn.NewListener(nil, clientconn.Options{MaxConnections: adminMaxConnections, WaitForCapacity: true})
-	s := &adminServer{connections: connections, log: log, calls: adminCalls(operations)}
+	s := &adminServer{
+		connections: clientconn.NewListener(nil, clientconn.Options{MaxConnections: adminMaxConnections, WaitForCapacity: true}),
+		log:         log,
+		calls:       adminCalls(operations),
+	}
 	s.server = &http.Server{
 		Handler:           s,
 		ReadHeaderTimeout: adminHeadTimeout,
--- a/internal/proxy/operations.go
+++ b/internal/proxy/operations.go
@@ -91,7 +91,7 @@
 			return nil
 		}
 		listed := false
-		if err := p.loop.do(ctx, func() { listed = p.loop.pool.known(id) }); err != nil {
+		if err := p.loop.do(ctx, func() { listed = p.loop.pool.Contains(id) }); err != nil {
 			return err
 		}
 		if !listed {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -16,6 +16,7 @@
 	"baylock/internal/settings"
 	"baylock/internal/socket"
 	"baylock/internal/timing"
+	"baylock/internal/upstream"
 )
 
 const (
@@ -85,7 +86,7 @@
 	forClients, forBackends := divide(cfg.Sockets)
 	store := openOperatorState(cfg)
 	operators := store.Current()
-	l := newLoop(bal, timing.NewClock(), newBackends(cfg.Site.DialTimeout, cfg.Site.IdleClose, forBackends),
+	l := newLoop(bal, timing.NewClock(), upstream.NewPool(cfg.Site.DialTimeout, cfg.Site.IdleClose, forBackends),
 		zones, cfg.Log)
 	l.inForce.Store(first)
 	p := &Proxy{cfg: cfg, loop: l, operatorState: store, renews: make(chan string), opened: make(chan struct{}),
--- a/internal/scale/reload/reload_test.go
+++ b/internal/scale/reload/reload_test.go
@@ -20,12 +20,11 @@
 			return f
 		}
 	}
-	t.Fatalf("there is no figure %q", quantity)
+	t.Fatalf("no figure %q", quantity)
 	panic("unreachable")
 }
 
-// The whole experiment in small: all proxies take every change, and nothing is left behind.
-func TestAllProxiesTakeTheChanges(t *testing.T) {
+func TestRunAppliesChangesAtAllProxies(t *testing.T) {
 	env := scaletest.Env(t)
 	p := smallPlan()
 	p.proxies, p.rate = 3, 2
@@ -36,41 +35,41 @@
 	if f := figure(t, result.Figures, "proxies not in force"); f.Value != 0 || f.Samples != p.proxies*p.changes {
 		t.Errorf("got %+v", f)
 	}
-	if f := figure(t, result.Figures, "time to in force, worst"); !(f.Value > 0) || f.Value >= p.patience.Seconds() {
+	if f := figure(t, result.Figures, "time to in force, worst"); !(f.Value > 0) || f.Value >= p.timeout.Seconds() {
 		t.Errorf("got %+v", f)
 	}
 	if f := figure(t, result.Figures, "bytes to each proxy"); f.Value < 1000 {
 		t.Errorf("got %+v", f)
 	}
 	if env.Budget.Processes() != 0 {
-		t.Errorf("%d processes are left", env.Budget.Processes())
+		t.Errorf("%d processes still run", env.Budget.Processes())
 	}
 }
 
-// A proxy that is not told to read its file stands for one that never takes a change: it is given up, and said so.
-func TestAProxyThatTakesNothingIsCounted(t *testing.T) {
+// A proxy that gets no signal stands for one that never applies a change.
+func TestProxyWithoutReloadCountsAsNotInForce(t *testing.T) {
 	env := scaletest.Env(t)
 	p := smallPlan()
-	p.proxies, p.patience = 1, 100*time.Millisecond
+	p.proxies, p.timeout = 1, 100*time.Millisecond
 	f, err := startFleet(t.Context(), env, p)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.close()
-	took, err := f.await(t.Context(), f.proxies[0], f.addClass(), time.Now())
-	if err != nil || took != p.patience {
+	took, err := f.waitForClass(t.Context(), f.proxies[0], f.addClass(), time.Now())
+	if err != nil || took != p.timeout {
 		t.Fatalf("got %v, %v", took, err)
 	}
 	m := measurement{times: []time.Duration{time.Second, took, time.Millisecond}}
 	figures := m.figures(p)
-	if f := figure(t, figures, "proxies not in force"); f.Value != 2 || f.Meets() {
+	if f := figure(t, figures, "proxies not in force"); f.Value != 2 || f.MeetsTarget() {
 		t.Errorf("got %+v", f)
 	}
 }
 
-func TestTheRunEndsWithItsContext(t *testing.T) {
+func TestRunEndsWithContext(t *testing.T) {
 	env := scaletest.Env(t)
-	stop := errors.New("enough")
+	stop := errors.New("stopped by the test")
 	ctx, cancel := context.WithCancelCause(t.Context())
 	env.Progress = func(format string, _ ...any) {
 		if format == "change %d of %d" {
@@ -81,18 +80,30 @@
 		t.Errorf("got %v", err)
 	}
 	if env.Budget.Processes() != 0 {
-		t.Errorf("%d processes are left", env.Budget.Processes())
+		t.Errorf("%d processes still run", env.Budget.Processes())
 	}
 }
 
-func TestQuantiles(t *testing.T) {
+func TestQuantile(t *testing.T) {
 	sorted := []float64{1, 2, 3, 4}
-	for part, want := range map[float64]float64{0: 1, 0.25: 1, 0.5: 2, 0.51: 3, 0.99: 4, 1: 4} {
-		if got := quantile(sorted, part); got != want {
-			t.Errorf("%v: got %v, want %v", part, got, want)
-		}
-	}
-	if got := quantile(nil, 0.5); got != 0 {
-		t.Errorf("of none: %v", got)
+	for _, test := range []struct {
+		name   string
+		sorted []float64
+		part   float64
+		want   float64
+	}{
+		{"minimum", sorted, 0, 1},
+		{"first value", sorted, 0.25, 1},
+		{"median", sorted, 0.5, 2},
+		{"above median", sorted, 0.51, 3},
+		{"p99", sorted, 0.99, 4},
+		{"maximum", sorted, 1, 4},
+		{"no values", nil, 0.5, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := quantile(test.sorted, test.part); got != test.want {
+				t.Errorf("got %v, want %v", got, test.want)
+			}
+		})
 	}
 }
