--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -57,7 +57,7 @@
 	return resp.StatusCode
 }
 
-func TestAReloadPutsTheSettingsInForce(t *testing.T) {
+func TestReloadAppliesSettings(t *testing.T) {
 	left := make(chan int, 10)
 	p, _ := serving(t, func(w io.Writer, r *http.Request, _ int) bool {
 		ms, _ := strconv.Atoi(r.Header.Get("Request-Timeout-Ms"))
@@ -67,7 +67,7 @@
 	})
 	long := strings.Replace(shortPost("p"), "Timeout-Ms: 4000", "Timeout-Ms: 60000", 1)
 	if got := p.status(t, scan("1")); got != 400 {
-		t.Errorf("a class that is not known yet: %d", got)
+		t.Errorf("an unknown class: %d", got)
 	}
 	if got := p.status(t, long); got != 200 {
 		t.Errorf("before: %d", got)
@@ -84,7 +84,7 @@
 	}
 	wait(t, "request", left)
 	if got := p.status(t, look("3", 4000)); got != 400 {
-		t.Errorf("a class that is gone: %d", got)
+		t.Errorf("a removed class: %d", got)
 	}
 	if got := p.status(t, long); got != 200 {
 		t.Errorf("after: %d", got)
@@ -100,8 +100,8 @@
 	}
 }
 
-// Settings come and go under load: every request is served, and no connection ends on either side.
-func TestReloadsUnderLoadLoseNothing(t *testing.T) {
+// Settings change back and forth under load: every request is served, and no connection is closed on either side.
+func TestReloadUnderLoadLosesNoRequest(t *testing.T) {
 	const clients, reloads = 3, 60 // more at once than a class's count has learned to bear would be refused
 	b := startBackend(t, says(served, true))
 	// Each request may need a connection of its own, as one rests after its use.
@@ -160,8 +160,8 @@
 	}
 }
 
-// What is wrong anywhere in a configuration leaves all of the old one in force.
-func TestARefusedReloadChangesNothing(t *testing.T) {
+// A configuration that is invalid anywhere leaves all of the old one in force.
+func TestRejectedReloadChangesNothing(t *testing.T) {
 	p, _, _ := operated(t)
 	p.mustReload(t, changed(t, p, "first"))
 	before, most := p.loop.inForce.Load(), p.most()
@@ -179,36 +179,38 @@
 		"Deadline":          func(c *Config) { c.Site.Balancer.Classes[0].Deadline = 0 },
 		"Tenants":           func(c *Config) { c.Site.Balancer.Tenants[0].RateQuota = -1 },
 	} {
-		cfg := changed(t, p, "bad", lookProfile, scanProfile+lookProfile)
-		cfg.Sockets = 800
-		spoil(&cfg)
-		if err := p.Reload(cfg); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: got %v", want, err)
-		}
-		if p.loop.inForce.Load() != before || p.most() != most {
-			t.Errorf("%s: it was taken in part", want)
-		}
+		t.Run(want, func(t *testing.T) {
+			cfg := changed(t, p, "bad", lookProfile, scanProfile+lookProfile)
+			cfg.Sockets = 800
+			spoil(&cfg)
+			if err := p.Reload(cfg); err == nil || !strings.Contains(err.Error(), want) {
+				t.Errorf("got %v", err)
+			}
+			if p.loop.inForce.Load() != before || p.most() != most {
+				t.Error("it was applied in part")
+			}
+		})
 	}
 	if got := p.status(t, scan("1")); got != 400 {
-		t.Errorf("a class of refused settings: %d", got)
+		t.Errorf("a class of rejected settings: %d", got)
 	}
 	if got := p.status(t, look("2", 4000)); got != 200 {
 		t.Errorf("a class of the old settings: %d", got)
 	}
 }
 
-// Whether a request may be sent again was decided when it came.
-func TestAnAttemptKeepsItsSettingsOverAReload(t *testing.T) {
+// Whether a request may be retried was decided when it arrived.
+func TestReloadKeepsIdempotencyOfOpenRequests(t *testing.T) {
 	for name, c := range map[string]struct {
 		request     string
 		old, reload string
 		want        int
 		sends       int32
 	}{
-		"an unsafe one is not sent again": {shortPost("1"), postProfile,
+		"not idempotent": {shortPost("1"), postProfile,
 			strings.Replace(postProfile, `"at_most_once"`, `"deduplicated","dedup_scope":"all","dedup_window_us":8000000`, 1), 502, 1},
-		"a keyed one has its window": {rate("1"), `"dedup_window_us":9000000`, `"dedup_window_us":1`, 200, 2},
-		"so it has with its class gone": {rate("1"), `{"dedup_scope":"cell","dedup_window_us":9000000,"give_up_us":8000000,"name":"rate",` +
+		"with key, window changed": {rate("1"), `"dedup_window_us":9000000`, `"dedup_window_us":1`, 200, 2},
+		"with key, class removed": {rate("1"), `{"dedup_scope":"cell","dedup_window_us":9000000,"give_up_us":8000000,"name":"rate",` +
 			`"objective_us":1000000,"late_share":0.5,"repeat":"deduplicated","worth":1},`, "", 200, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -234,19 +236,19 @@
 	}
 }
 
-// A request that was read under the old settings, and reaches the loop after the new ones, is taken as what it is, or
-// refused where its class is gone or repeats otherwise. Nothing of it is sent then.
-func TestARequestThatCrossesAReload(t *testing.T) {
+// A request that was read under the old settings, and reaches the loop after the new ones, is taken under the numbers that
+// its class and tenant have now, or rejected unsent where its class is gone or has another idempotency.
+func TestReloadRenumbersRequestsNotYetTaken(t *testing.T) {
 	for name, c := range map[string]struct {
 		old, reload string
 		want        int
 	}{
-		"its class has moved":    {lookProfile, scanProfile + lookProfile, 200},
-		"its tenant has moved":   {`"tenants":[`, `"tenants":[{"name":"other","portion":0,"quota_per_s":0},`, 200},
-		"its tenant has gone":    {`"acme"`, `"other"`, 200},
-		"its class has gone":     {lookProfile, scanProfile, 503},
-		"its class is unsafe":    {lookProfile, strings.Replace(lookProfile, "idempotent", "at_most_once", 1), 503},
-		"nothing of it has gone": {`"siblings":1`, `"siblings":2`, 200},
+		"class moved":          {lookProfile, scanProfile + lookProfile, 200},
+		"tenant moved":         {`"tenants":[`, `"tenants":[{"name":"other","portion":0,"quota_per_s":0},`, 200},
+		"tenant removed":       {`"acme"`, `"other"`, 200},
+		"class removed":        {lookProfile, scanProfile, 503},
+		"class not idempotent": {lookProfile, strings.Replace(lookProfile, "idempotent", "at_most_once", 1), 503},
+		"class unchanged":      {`"siblings":1`, `"siblings":2`, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, b := serving(t, says(served, true))
@@ -277,16 +279,16 @@
 			}
 			site := p.loop.inForce.Load().site
 			if r, ok := <-ids; ok && site.Classes[r.Class] != "look" {
-				t.Errorf("it was taken for class %q", site.Classes[r.Class])
+				t.Errorf("taken as class %q", site.Classes[r.Class])
 			} else if ok && r.Tenant != noTenant && site.Tenants[r.Tenant] != "acme" {
-				t.Errorf("it was taken for tenant %q", site.Tenants[r.Tenant])
+				t.Errorf("taken as tenant %q", site.Tenants[r.Tenant])
 			}
 		})
 	}
 }
 
 // Operators see which settings are in force, in one line.
-func TestReadyShowsTheSettingsInForce(t *testing.T) {
+func TestReadyReportsSettingsInForce(t *testing.T) {
 	p, _, _ := operated(t)
 	ask := func() string {
 		t.Helper()
@@ -314,8 +316,8 @@
 	}
 }
 
-// Requests that came under longer deadlines keep their time when SIGTERM comes, also over two reloads.
-func TestTheEndWaitsForTheLongestDeadlineInFlight(t *testing.T) {
+// Requests that arrived under longer deadlines keep them at SIGTERM, also after two reloads.
+func TestSnapshotKeepsLongestDeadlineOfOpenRequests(t *testing.T) {
 	p, _ := serving(t, says(served, true))
 	const before, after = 8 * time.Second, 90 * time.Millisecond
 	first := p.loop.inForce.Load().taken
@@ -338,8 +340,8 @@
 	}
 }
 
-// Descriptors and memory are shared out anew at once.
-func TestAReloadTakesTheLimits(t *testing.T) {
+// Descriptors and memory are divided again at once.
+func TestReloadAppliesLimits(t *testing.T) {
 	p, _ := serving(t, says(served, true))
 	cfg := changed(t, p, "")
 	cfg.Sockets, cfg.MemoryMB = 500, 100
@@ -357,9 +359,8 @@
 	})
 }
 
-// Zones keep their numbers whatever the order in which settings name them, and servers of a zone that is named only later
-// are at home there.
-func TestZonesKeepTheirNumbers(t *testing.T) {
+// Zones keep their numbers in whatever order settings name them, and so do those that only later settings name.
+func TestSnapshotKeepsZoneNumbers(t *testing.T) {
 	zones := discovery.NewZones([]string{"a", "b"})
 	site, err := settings.Decode([]byte(siteText))
 	if err != nil {
--- /dev/null
+++ b/internal/proxy/takeover_test.go
@@ -0,0 +1,329 @@
+package proxy
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"baylock/balancer"
+	"baylock/internal/discovery"
+	"baylock/internal/settings"
+)
+
+// A new version takes over under load: every request is answered in full on any connection, new connections go to the
+// new process, detached backends and lame duck hold at both, and both share the limits.
+func TestTakeoverUnderLoadLosesNoRequest(t *testing.T) {
+	a, b, c := startBackend(t, says(served, true)), startBackend(t, says(served, true)), startBackend(t, says(served, true))
+	d, dir := startDiscovery(t), t.TempDir()
+	entries := []string{listed("a", a.addr, discovery.Serving), listed("b", b.addr, discovery.Serving), listed("c", c.addr, discovery.Serving)}
+	old := startWithConsole(t, dir, "127.0.0.1:0", d.addr, entries...)
+	before := old.most()
+	if got := operate(t, old, "POST /_backends/detach", "a"); got != 200 {
+		t.Fatalf("detach: %d", got)
+	}
+	end := make(chan struct{})
+	var load sync.WaitGroup
+	for i := range 8 {
+		load.Go(func() {
+			c := newClient(nil)
+			for n := 0; ; n++ {
+				select {
+				case <-end:
+					return
+				default:
+				}
+				if c.Conn == nil {
+					nc, err := net.Dial("tcp", old.Addr())
+					if err != nil {
+						t.Errorf("no connection: %v", err)
+						return
+					}
+					_ = nc.SetDeadline(time.Now().Add(patience))
+					c = newClient(nc)
+				}
+				c.send(t, look(fmt.Sprintf("c%d-%d", i, n), 4000))
+				resp, err := http.ReadResponse(c.r, nil)
+				if err != nil || resp.StatusCode != 200 && resp.StatusCode != 503 { // rejections may happen on a busy machine
+					t.Errorf("client %d, request %d: %v %v", i, n, resp, err)
+					return
+				}
+				_, _ = io.Copy(io.Discard, resp.Body)
+				if resp.Close || n%5 == 4 {
+					c.Conn.Close()
+					c.Conn = nil
+				}
+				time.Sleep(20 * time.Millisecond) // within the tenant's share
+			}
+		})
+	}
+	next := startWithConsole(t, dir, old.Addr(), d.addr, entries...)
+	waitUntil(t, func() bool {
+		select {
+		case <-next.opened:
+			return operate(t, next, "GET /_ready", "") == 200
+		default:
+			return false
+		}
+	})
+	waitUntil(t, func() bool { return old.most() < before && next.most() < before })
+	fresh := connect(t, next)
+	fresh.send(t, look("new", 4000))
+	fresh.answer(t)
+	if n := next.front.clients.count(); n == 0 {
+		t.Error("a new connection went to the old process")
+	}
+	// Operators may call either process.
+	operate(t, next, "POST /_lameduck/on", "")
+	waitUntil(t, func() bool { return old.front.duck.Load() })
+	operate(t, old, "POST /_lameduck/off", "")
+	waitUntil(t, func() bool { return !next.front.duck.Load() })
+	operate(t, next, "POST /_backends/detach", "b")
+	waitUntil(t, func() bool { return old.isDetached("b") && old.isDetached("a") && next.isDetached("a") })
+	operate(t, old, "POST /_backends/attach", "b")
+	waitUntil(t, func() bool { return !next.isDetached("b") })
+	old.stop()
+	waitUntil(t, func() bool { return old.front.draining.Load() })
+	if got := old.Proxy.front.healthy(); !got {
+		t.Error("the old process is unhealthy while another serves")
+	}
+	if err := wait(t, "end of the old process", old.done); err != nil {
+		t.Error(err)
+	}
+	close(end)
+	load.Wait()
+	if next.asks(t, 5) != 5 || next.health(t) != 200 {
+		t.Error("the new process does not serve alone")
+	}
+	waitUntil(t, func() bool { return next.most() == before })
+	if n := a.requests.Load(); n != 0 {
+		t.Errorf("%d requests to the detached backend", n)
+	}
+}
+
+// isDetached tells whether the loop has detached a backend.
+func (p *running) isDetached(id string) bool {
+	got := make(chan bool, 1)
+	p.loop.post(func() { got <- p.loop.detached[id] })
+	return <-got
+}
+
+func (p *running) most() int {
+	p.front.clients.mu.Lock()
+	defer p.front.clients.mu.Unlock()
+	return p.front.clients.most
+}
+
+// TestMain runs a proxy in a process of its own where TestTakeoverSurvivesKillOfNewProcess starts it so.
+func TestMain(m *testing.M) {
+	if text := os.Getenv("PROXY_TO_KILL"); text != "" {
+		if err := runToBeKilled(text); err != nil {
+			fmt.Fprintln(os.Stderr, err)
+		}
+		os.Exit(1)
+	}
+	os.Exit(m.Run())
+}
+
+func runToBeKilled(text string) error {
+	var cfg Config
+	if err := json.Unmarshal([]byte(text), &cfg); err != nil {
+		return err
+	}
+	var err error
+	if cfg.Site, err = settings.Decode([]byte(siteText)); err != nil {
+		return err
+	}
+	if cfg.Known, err = discovery.ParseList([]byte(os.Getenv("PROXY_KNOWN"))); err != nil {
+		return err
+	}
+	cfg.Log = slog.New(slog.NewTextHandler(os.Stderr, nil))
+	p, err := New(cfg)
+	if err != nil {
+		return err
+	}
+	go func() { <-p.opened; fmt.Println(p.ConsoleAddr()) }()
+	return p.Run(context.Background())
+}
+
+// The locks of a process that is killed end with it; the other process goes on alone and keeps the operators' state.
+func TestTakeoverSurvivesKillOfNewProcess(t *testing.T) {
+	a, b := startBackend(t, says(served, true)), startBackend(t, says(served, true))
+	d, dir := startDiscovery(t), t.TempDir()
+	entries := []string{listed("a", a.addr, discovery.Serving), listed("b", b.addr, discovery.Serving)}
+	old := startWithConsole(t, dir, "127.0.0.1:0", d.addr, entries...)
+	before := old.most()
+	operate(t, old, "POST /_backends/detach", "a")
+	cfg, err := json.Marshal(Config{Name: "n0", Listen: old.Addr(), Console: "127.0.0.1:0", TempDir: dir,
+		Discovery: d.addr, Seed: 8, Sockets: 400})
+	if err != nil {
+		t.Fatal(err)
+	}
+	next := exec.Command(os.Args[0])
+	next.Env = append(os.Environ(), "PROXY_TO_KILL="+string(cfg), "PROXY_KNOWN="+listText(1, true, entries...))
+	next.Stderr = os.Stderr
+	out, err := next.StdoutPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := next.Start(); err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = next.Process.Kill(); _ = next.Wait() }()
+	line, err := bufio.NewReader(out).ReadString('\n')
+	if err != nil {
+		t.Fatal(err)
+	}
+	both := &running{Proxy: old.Proxy}
+	resp, err := http.Post("http://"+strings.TrimSpace(line)+"/_backends/detach", "", strings.NewReader("a"))
+	if err != nil || resp.StatusCode != 200 {
+		t.Fatalf("the new process answered %v, %v", resp, err)
+	}
+	resp.Body.Close()
+	if ok := both.asks(t, 5); ok != 5 || old.front.clients.count() != 0 {
+		t.Errorf("%d of 5 served, %d connections at the old process", ok, old.front.clients.count())
+	}
+	waitUntil(t, func() bool { return old.front.succeeded.Load() && old.most() < before })
+	_ = next.Process.Kill()
+	waitUntil(t, func() bool { return !old.front.succeeded.Load() && old.most() == before })
+	if ok := old.asks(t, 20); ok != 20 || a.requests.Load() != 0 {
+		t.Errorf("%d of 20 served, %d to the detached backend", ok, a.requests.Load())
+	}
+	old.stop()
+	waitUntil(t, func() bool { return old.front.draining.Load() })
+	if old.front.healthy() {
+		t.Error("it shuts down without a successor, and is healthy")
+	}
+}
+
+// A damaged state file is logged, and nothing but the state is lost.
+func TestProxyServesWithDamagedStateFile(t *testing.T) {
+	for name, text := range map[string]string{"half": `{"version":3,"det`, "other": `[1,2]`, "empty": "",
+		"binary": "\x00\x01", "numbers": `{"version":"x"}`, "list": `{"version":1,"detached":{"a":1}}`} {
+		t.Run(name, func(t *testing.T) {
+			dir := t.TempDir()
+			path := filepath.Join(dir, "fernlanding-n0.json")
+			if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			b := startBackend(t, says(served, true))
+			p := startWithConsole(t, dir, "127.0.0.1:0", startDiscovery(t).addr, listed("a", b.addr, discovery.Serving))
+			if ok := p.asks(t, 1); ok != 1 {
+				t.Error("not served")
+			}
+			if got := operate(t, p, "POST /_backends/detach", "a"); got != 200 {
+				t.Errorf("detach: %d", got)
+			}
+			if err := os.WriteFile(path, []byte(text), 0o600); err != nil { // while it runs
+				t.Fatal(err)
+			}
+			time.Sleep(2 * stateSyncInterval)
+			if !p.isDetached("a") {
+				t.Error("the backend is no longer detached")
+			}
+		})
+	}
+}
+
+// Detached backends and lame duck hold for a process that starts after the other has ended.
+func TestStartRestoresOperatorState(t *testing.T) {
+	a, b := startBackend(t, says(served, true)), startBackend(t, says(served, true))
+	d, dir := startDiscovery(t), t.TempDir()
+	entries := []string{listed("a", a.addr, discovery.Serving), listed("b", b.addr, discovery.Serving)}
+	p := startWithConsole(t, dir, "127.0.0.1:0", d.addr, entries...)
+	operate(t, p, "POST /_backends/detach", "a")
+	operate(t, p, "POST /_lameduck/on", "")
+	p.stop()
+	wait(t, "end of Run", p.done)
+	p = startWithConsole(t, dir, "127.0.0.1:0", d.addr, entries...)
+	if got := p.health(t); got != 503 {
+		t.Errorf("health is %d", got)
+	}
+	if ok := p.asks(t, 20); ok != 20 || a.requests.Load() != 0 {
+		t.Errorf("%d of 20 served, %d to the detached backend", ok, a.requests.Load())
+	}
+}
+
+// A new version begins with what the old one's balancer has learned, unless the file is damaged or old.
+func TestTakeoverImportsLearnedState(t *testing.T) {
+	b := startBackend(t, says(served, true))
+	d, dir := startDiscovery(t), t.TempDir()
+	entry := listed("a", b.addr, discovery.Serving)
+	old := startWithConsole(t, dir, "127.0.0.1:0", d.addr, entry)
+	learned := func(p *running) balancer.LearnedState {
+		got := make(chan balancer.LearnedState, 1)
+		p.loop.post(func() { got <- p.loop.bal.ExportState() })
+		return wait(t, "answer of the loop", got)
+	}
+	l := learned(old)
+	l.Share, l.Tier = 0.5, 9
+	old.loop.post(func() { old.loop.bal.ImportState(l) })
+	waitUntil(t, func() bool {
+		got, ok, err := old.operatorState.LoadLearned()
+		return ok && err == nil && got.Share == 0.5
+	})
+	next := startWithConsole(t, dir, old.Addr(), d.addr, entry)
+	if got := learned(next); got.Share != 0.5 || got.Tier != 9 {
+		t.Errorf("got %+v", got)
+	}
+	if err := os.WriteFile(filepath.Join(dir, "fernlanding-n0.json.learned"), []byte(`{"at":"now`), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	third := startWithConsole(t, dir, old.Addr(), d.addr, entry)
+	if got := learned(third); got.Share == 0.5 {
+		t.Error("the damaged file was imported")
+	}
+}
+
+// SIGKILL could cut off the long response to a request that the old process accepted late. It closes idle connections
+// after 0.5 s, and fails a request whose body ends later before its long response begins; one that arrived in time gets
+// its complete response.
+func TestTakeoverFailsLateRequestsWithLongResponses(t *testing.T) {
+	b := startReader(t, func(w io.Writer, r *http.Request, body []byte) {
+		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n%s", text(300_000))
+	})
+	d, dir := startDiscovery(t), t.TempDir()
+	entry := listed("a", b.addr, discovery.Serving)
+	old := startWithConsole(t, dir, "127.0.0.1:0", d.addr, entry)
+	uploads := make([]*client, 2)
+	for i := range uploads {
+		uploads[i] = connect(t, old)
+		uploads[i].send(t, post(fmt.Sprint(i), "Content-Length: 100000")+text(100_000)[:70_000])
+	}
+	idle := connect(t, old)
+	idle.send(t, look("x", 4000))
+	idle.answer(t)
+	next := startWithConsole(t, dir, old.Addr(), d.addr, entry)
+	<-next.opened
+	old.stop()
+	waitUntil(t, func() bool { return old.front.draining.Load() })
+	told := time.Now()
+	for i, want := range []int{200, 502} {
+		rest := text(100_000)[70_000:]
+		uploads[i].send(t, rest[:15_000])
+		if want == 502 {
+			if _, err := idle.r.ReadByte(); err != io.EOF || time.Since(told) > time.Second {
+				t.Errorf("the idle connection: %v after %v", err, time.Since(told))
+			}
+			time.Sleep(time.Until(told.Add(takenLate + 200*time.Millisecond)))
+		}
+		uploads[i].send(t, rest[15_000:])
+		if resp, _ := uploads[i].answer(t); resp.StatusCode != want {
+			t.Errorf("request %d: got %s", i, resp.Status)
+		}
+	}
+	if err := wait(t, "end of Run", old.done); err != nil {
+		t.Error(err)
+	}
+}
