--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -14,6 +14,7 @@
 	"baylock/internal/discovery"
 	"baylock/internal/operatorstate"
 	"baylock/internal/settings"
+	"baylock/internal/socket"
 	"baylock/internal/timing"
 )
 
@@ -140,7 +141,7 @@
 // connections.
 func (p *Proxy) open() error {
 	before := p.operatorState.AcceptingPeers()
-	listener, err := listenShared(p.cfg.Listen, before, p.cfg.Log)
+	listener, err := socket.ListenShared(p.cfg.Listen, before, p.cfg.Log)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
