--- a/cmd/baylock/main_test.go
+++ b/cmd/baylock/main_test.go
@@ -15,70 +15,24 @@
 	"testing"
 	"time"
 
+	"baylock/internal/config"
 	"baylock/internal/proxy"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",` +
+const validFile = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",` +
 	`"limits":{"cores":1.0,"memory_mb":192,"sockets":512},"known":{"index":4,"snapshot":true,"endpoints":[]},` +
 	`"later":1,"settings":{"contract":{},"failure_domains":["a"],"limits":{"dial_timeout_us":1,"idle_close_us":1,` +
 	`"try_limit":3},"membership_mode":"automatic","profiles":[{"give_up_us":8,"name":"look","objective_us":4,` +
 	`"repeat":"idempotent","worth":1}],"siblings":1}}`
 
-func loadText(t *testing.T, text string, env map[string]string) (string, error) {
+// startProxy starts a proxy with the configuration in a file. It ends with the test.
+func startProxy(t *testing.T, path string, log *slog.Logger) *proxy.Proxy {
 	t.Helper()
-	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	cfg, err := load(func(name string) string {
-		if name == "LB_CONFIG" {
-			return path
-		}
-		return env[name]
-	})
-	return cfg.Listen, err
-}
-
-func TestTheConfigurationIsRead(t *testing.T) {
-	if listen, err := loadText(t, good, nil); err != nil || listen != "127.0.0.1:0" {
-		t.Errorf("got %q, %v", listen, err)
-	}
-	bare := strings.Replace(good, `"listen":"127.0.0.1:0",`, "", 1)
-	if listen, err := loadText(t, bare, map[string]string{"LB_LISTEN": "127.0.0.1:9"}); err != nil || listen != "127.0.0.1:9" {
-		t.Errorf("got %q, %v", listen, err)
-	}
-}
-
-func TestABadConfigurationIsOneLine(t *testing.T) {
-	for _, c := range []struct{ old, new, want string }{
-		{good, ``, "unexpected end"},
-		{`"listen":"127.0.0.1:0",`, ``, "listen or discovery"},
-		{`8c1f30d27a5be964`, `sesame`, "seed"},
-		{`"sockets":512`, `"sockets":-1`, "limits"},
-		{`"endpoints":[]`, `"endpoints":[{}]`, "known"},
-		{`"name":"look",`, ``, "profiles[0].name"},
-		{`"settings"`, `"setting"`, "settings is missing"},
-		{`"automatic"`, `"never"`, "membership_mode"},
-	} {
-		_, err := loadText(t, strings.Replace(good, c.old, c.new, 1), nil)
-		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q for %q: got %v", c.new, c.old, err)
-		}
-	}
-	if _, err := load(func(string) string { return "" }); err == nil {
-		t.Error("no LB_CONFIG is no error")
-	}
-}
-
-// started is a proxy at work with the configuration in a file. It ends with the test.
-func started(t *testing.T, path string, log *slog.Logger) *proxy.Proxy {
-	t.Helper()
-	cfg, err := load(environment(path))
+	cfg, err := config.Load(environment(path))
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Log = log
-	p, err := proxy.New(cfg)
+	p, err := proxy.New(cfg, log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,11 +65,11 @@
 	}
 }
 
-// After SIGHUP the file is read again. What makes no sense, or can't change while the proxy runs, is one line in the log
-// and changes nothing.
-func TestANewConfigurationIsTakenOrRefusedWhole(t *testing.T) {
+// After SIGHUP the file is read again. What is invalid, or can't change while the proxy runs, is one line in the log and
+// changes nothing.
+func TestReloadAppliesOrRejectsConfiguration(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	write(t, path, good)
+	write(t, path, validFile)
 	var mu sync.Mutex
 	var logged []string
 	log := slog.New(slog.NewTextHandler(writerFunc(func(b []byte) {
@@ -125,19 +79,19 @@
 			logged = append(logged, string(b))
 		}
 	}), nil))
-	p := started(t, path, log)
-	var told []string
-	take := func(cfg proxy.Config) error {
+	p := startProxy(t, path, log)
+	var addresses []string
+	apply := func(cfg config.Config) error {
 		err := p.Reload(cfg)
 		if err == nil {
-			told = append(told, cfg.Discovery)
+			addresses = append(addresses, cfg.Discovery)
 		}
 		return err
 	}
-	texts := []struct{ old, new, refusal string }{
-		{good, good, ""},
-		{good, good[:99], "unexpected end"},
-		{good, "", "unexpected end"},
+	texts := []struct{ old, new, rejection string }{
+		{validFile, validFile, ""},
+		{validFile, validFile[:99], "unexpected end"},
+		{validFile, "", "unexpected end"},
 		{"127.0.0.1:1", "nowhere", "discovery"},
 		{"127.0.0.1:1", "127.0.0.1:port", "discovery"},
 		{"127.0.0.1:0", "127.0.0.1:9", "listen"},
@@ -150,11 +104,11 @@
 		{`"siblings":1`, `"siblings":2`, ""},
 	}
 	for _, c := range texts {
-		write(t, path, strings.Replace(good, c.old, c.new, 1))
-		reload(environment(path), take, log)
+		write(t, path, strings.Replace(validFile, c.old, c.new, 1))
+		reload(environment(path), apply, log)
 	}
-	if want := []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:1"}; !slices.Equal(told, want) {
-		t.Errorf("told %q", told)
+	if want := []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:1"}; !slices.Equal(addresses, want) {
+		t.Errorf("discovery at %q", addresses)
 	}
 	mu.Lock()
 	defer mu.Unlock()
@@ -163,7 +117,7 @@
 	}
 	for i, c := range texts {
 		line := logged[1+i]
-		if refused := strings.Contains(line, "not taken"); refused != (c.refusal != "") || !strings.Contains(line, c.refusal) {
+		if rejected := strings.Contains(line, "not taken"); rejected != (c.rejection != "") || !strings.Contains(line, c.rejection) {
 			t.Errorf("%s: logged %q", c.new, line)
 		}
 	}
@@ -174,8 +128,8 @@
 	}
 }
 
-// The whole way: the signal, the file, the loop, a client's view. Of several signals the last file counts.
-func TestSIGHUPPutsTheFileInForce(t *testing.T) {
+// From the signal to what a client sees. After several signals the last file counts.
+func TestRunReloadsFileOnSIGHUP(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -183,12 +137,12 @@
 	addr := l.Addr().String()
 	l.Close()
 	path := filepath.Join(t.TempDir(), "config.json")
-	text := strings.Replace(good, "127.0.0.1:0", addr, 1)
+	text := strings.Replace(validFile, "127.0.0.1:0", addr, 1)
 	write(t, path, text)
 	t.Setenv("LB_CONFIG", path)
 	ended := make(chan error, 1)
 	go func() { ended <- run() }()
-	// known tells whether the proxy knows a class: one that it does not know is a client's fault.
+	// known tells whether the proxy knows a class: it answers 400 for one that it does not.
 	known := func(class string) bool {
 		req, err := http.NewRequest(http.MethodGet, "http://"+addr+"/"+class+"/k", nil)
 		if err != nil {
--- a/internal/proxy/body_test.go
+++ b/internal/proxy/body_test.go
@@ -6,7 +6,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"net/http"
 	"runtime"
 	"strings"
@@ -16,6 +15,7 @@
 	"time"
 
 	"baylock/balancer"
+	"baylock/internal/config"
 	"baylock/internal/discovery"
 	"baylock/internal/message"
 	"baylock/internal/settings"
@@ -213,8 +213,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := Config{Listen: "127.0.0.1:0", Discovery: startDiscovery(t).addr, Seed: 7, Sockets: 1024, MemoryMB: 32,
-		Site: site, Log: slog.New(slog.DiscardHandler)}
+	cfg := config.Config{Listen: "127.0.0.1:0", Discovery: startDiscovery(t).addr, Seed: 7, Limits: config.Limits{Sockets: 1024, MemoryMB: 32},
+		Site: site}
 	if cfg.Known, err = discovery.ParseList([]byte(listText(1, true, listed("a", b.addr, discovery.Serving)))); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/console_test.go
+++ b/internal/proxy/console_test.go
@@ -3,13 +3,13 @@
 import (
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
 	"strings"
 	"testing"
 	"time"
 
+	"baylock/internal/config"
 	"baylock/internal/discovery"
 	"baylock/internal/settings"
 	"baylock/internal/socket"
@@ -23,8 +23,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := Config{Name: "n0", Listen: listen, Console: "127.0.0.1:0", TempDir: dir, Discovery: watched, Seed: 7,
-		Sockets: 400, Site: site, Log: slog.New(slog.DiscardHandler)}
+	cfg := config.Config{Name: "n0", Listen: listen, Console: "127.0.0.1:0", TempDir: dir, Discovery: watched, Seed: 7,
+		Limits: config.Limits{Sockets: 400}, Site: site}
 	if cfg.Known, err = discovery.ParseList([]byte(listText(1, true, entries...))); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/crowd_test.go
+++ b/internal/proxy/crowd_test.go
@@ -68,7 +68,7 @@
 		c.send(t, look(time.Now().String(), 4000))
 		c.answer(t)
 	}
-	p.limit(false)
+	p.setAlone(false)
 	if n, most := p.front.clients.count(), p.front.clients.most; n > most {
 		t.Errorf("%d connections of at most %d", n, most)
 	}
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -22,8 +22,6 @@
 	maxHead = 16 << 10 // of a request, before its body
 	maxID   = 128      // bytes of a Request-Id
 
-	noTenant = -1 // the number of one that the settings do not name
-
 	// A client that connects is owed an answer or a close within 3 s: it has this long to send a head, and
 	// this long from its connecting to its first body's end. A later body has as long as a head.
 	headPatience  = 2200 * time.Millisecond
@@ -233,19 +231,19 @@
 		}
 	}
 	now := f.loop.inForce.Load() // one for all of the request, whatever is put in force meanwhile
-	class, ok := now.classes[r.Header.Get("Request-Class")]
+	class, ok := now.ClassIndex(r.Header.Get("Request-Class"))
 	if !ok {
 		return bad(http.StatusBadRequest, "unknown Request-Class")
 	}
 	part, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	if part != now.site.Classes[class] || !strings.HasPrefix(r.RequestURI, "/") {
+	if part != now.Site.Classes[class] || !strings.HasPrefix(r.RequestURI, "/") {
 		return bad(http.StatusBadRequest, "the path does not begin with the class")
 	}
 	id := r.Header.Get("Request-Id")
 	if id == "" || len(id) > maxID {
 		return bad(http.StatusBadRequest, "no Request-Id, or a long one")
 	}
-	k, method := now.logic.Classes[class], http.MethodPost
+	k, method := now.Balancer.Classes[class], http.MethodPost
 	if k.Idempotency == balancer.Idempotent {
 		method = http.MethodGet
 	}
@@ -276,15 +274,11 @@
 		req.lease.Release()
 		return bad(http.StatusBadRequest, "the body broke off")
 	}
-	tenant, ok := now.tenants[r.Header.Get("Tenant")]
-	if !ok {
-		tenant = noTenant
-	}
 	// The time of a request counts from its last byte.
 	req.wait = wait - min(answerMargin, wait/marginPart)
 	req.header = passOn(r.Header)
 	req.came = f.loop.clock.Now()
-	req.Request = balancer.Request{ID: id, Class: class, Tenant: tenant, Key: rest[strings.LastIndexByte(rest, '/')+1:],
+	req.Request = balancer.Request{ID: id, Class: class, Tenant: now.TenantIndex(r.Header.Get("Tenant")), Key: rest[strings.LastIndexByte(rest, '/')+1:],
 		Deadline: f.loop.clock.At(time.Now().Add(req.wait)), Streaming: req.rest != nil}
 	return req, answer{}
 }
--- a/internal/proxy/leaving_test.go
+++ b/internal/proxy/leaving_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"baylock/internal/config"
 	"baylock/internal/discovery"
 	"baylock/internal/settings"
 )
@@ -24,8 +25,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := New(Config{Listen: "127.0.0.1:0", Discovery: startDiscovery(t).addr, Seed: 7, Sockets: 200, Site: site,
-		Known: known, Log: slog.New(slog.DiscardHandler)})
+	p, err := New(config.Config{Listen: "127.0.0.1:0", Discovery: startDiscovery(t).addr, Seed: 7, Limits: config.Limits{Sockets: 200}, Site: site,
+		Known: known}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"baylock/balancer"
+	"baylock/internal/config"
 	"baylock/internal/discovery"
 	"baylock/internal/message"
 	"baylock/internal/microtime"
@@ -39,7 +40,7 @@
 	left   func() bool          // whether its client has left
 	answer chan answer          // takes the one final answer without a wait
 
-	snapshot *snapshot // it was read under these settings; the loop's, once it has it
+	snapshot *config.Snapshot // it was read under these settings; the loop's, once it has it
 
 	over    bool
 	sends   int
@@ -76,7 +77,7 @@
 	listed chan struct{} // closed when there is a list
 	told   chan struct{} // closed when discovery has said something
 
-	inForce atomic.Pointer[snapshot] // the settings; the loop replaces them, and each request is read under one
+	inForce atomic.Pointer[config.Snapshot] // the settings; the loop replaces them, and each request is read under one
 
 	detached map[string]bool     // the backends that operators have detached
 	reqs     map[string]*request // until answered and no attempt is out
@@ -219,7 +220,7 @@
 		r.answer <- answer{status: http.StatusBadRequest}
 		return
 	}
-	if !l.current(r) {
+	if !l.adopt(r) {
 		return
 	}
 	if l.cutoff > 0 {
--- a/internal/proxy/operations.go
+++ b/internal/proxy/operations.go
@@ -62,7 +62,7 @@
 	if p.front.draining.Load() {
 		return "", errShuttingDown
 	}
-	return p.loop.inForce.Load().word(), nil
+	return p.loop.inForce.Load().String(), nil
 }
 
 // Detach implements Operations.
@@ -123,7 +123,7 @@
 		err = p.operatorState.SaveLearned(learned)
 	}
 	if err != nil && ctx.Err() == nil {
-		p.cfg.Log.Error("learned state is not saved", "error", err)
+		p.log.Error("learned state is not saved", "error", err)
 	}
 }
 
@@ -139,11 +139,11 @@
 		}
 		if now := p.operatorState.Alone(); now != alone {
 			alone = now
-			p.limit(alone)
+			p.setAlone(alone)
 		}
 		p.front.succeeded.Store(p.operatorState.AcceptingPeers() > 0)
 		if err := p.operatorState.Sync(p.applyState(ctx)); err != nil && ctx.Err() == nil {
-			p.cfg.Log.Error("shared state", "error", err)
+			p.log.Error("shared state", "error", err)
 		}
 		select {
 		case <-ticker.C:
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -11,22 +11,16 @@
 	"time"
 
 	"baylock/balancer"
+	"baylock/internal/config"
 	"baylock/internal/discovery"
 	"baylock/internal/operatorstate"
-	"baylock/internal/settings"
 	"baylock/internal/socket"
 	"baylock/internal/timing"
 )
 
 const (
-	ownSockets  = 32 // descriptors that are neither a client's nor a backend's, generously
-	leastEach   = 8  // connections on either side, at least
-	requestPart = 3  // clients hold this part of the descriptors at most for requests
-
 	firstListWait = 1500 * time.Millisecond // a process that takes over knows a list already, and asks for the present one
 
-	memoryPart = 0.6 // of the limit: the runtime collects harder from there on
-
 	boundAfter  = 200 * time.Millisecond // new connections surely come for this long after SIGTERM
 	acceptAfter = 550 * time.Millisecond // and may still come for this long
 	killAfter   = 3 * time.Second        // SIGKILL comes the longest deadline, or this, after SIGTERM
@@ -36,26 +30,10 @@
 	drainStep   = 20 * time.Millisecond
 )
 
-// Config is what a proxy is told at its start.
-type Config struct {
-	Name      string
-	Listen    string
-	Console   string // where operators call; none if empty
-	Discovery string
-	TempDir   string // what all processes of this proxy share; nothing is if empty
-	Seed      uint64
-	Sockets   int             // descriptors that the process may hold
-	MemoryMB  float64         // that it may hold; 0 if it is not told
-	Cores     float64         // that it may use; 0 if it is not told
-	Version   string          // of the settings and limits, as operators are shown it
-	Known     *discovery.List // the list as last known; may be nil
-	Site      *settings.Site
-	Log       *slog.Logger
-}
-
 // Proxy is one proxy with its listener open.
 type Proxy struct {
-	cfg           Config
+	log           *slog.Logger
+	cfg           config.Config
 	loop          *loop
 	front         *frontend
 	console       *adminServer // nil if none is wanted
@@ -72,26 +50,26 @@
 
 // New opens the listeners, unless another process of this proxy is at work: then Run does when it can serve. Clients
 // are served from Run on.
-func New(cfg Config) (*Proxy, error) {
+func New(cfg config.Config, log *slog.Logger) (*Proxy, error) {
 	zones := discovery.NewZones(cfg.Site.Zones)
-	first, err := newSnapshot(cfg, zones)
+	first, err := config.NewSnapshot(cfg, zones, nil)
 	if err != nil {
 		return nil, err
 	}
-	bal, err := balancer.New(first.logic, cfg.Seed)
+	bal, err := balancer.New(first.Balancer, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
-	forClients, forBackends := divide(cfg.Sockets)
-	store := openOperatorState(cfg)
+	clients, backends := cfg.Limits.Connections()
+	store := openOperatorState(cfg, log)
 	operators := store.Current()
-	l := newLoop(bal, timing.NewClock(), newBackends(cfg.Site.DialTimeout, cfg.Site.IdleClose, forBackends),
-		zones, cfg.Log)
+	l := newLoop(bal, timing.NewClock(), newBackends(cfg.Site.DialTimeout, cfg.Site.IdleClose, backends),
+		zones, log)
 	l.inForce.Store(first)
-	p := &Proxy{cfg: cfg, loop: l, operatorState: store, renews: make(chan string), opened: make(chan struct{}),
-		front: newFrontend(l, forClients, cfg.Log)}
+	p := &Proxy{log: log, cfg: cfg, loop: l, operatorState: store, renews: make(chan string), opened: make(chan struct{}),
+		front: newFrontend(l, clients, log)}
 	if cfg.Console != "" {
-		p.console = newAdminServer(p, cfg.Log)
+		p.console = newAdminServer(p, log)
 	}
 	l.setDetached(operators.Detached)
 	if cfg.Known != nil {
@@ -102,13 +80,13 @@
 		bal.Attach(at, id)
 	}
 	alone := store.Alone()
-	p.limit(alone)
+	p.setAlone(alone)
 	if alone {
 		if err := p.open(); err != nil {
 			return nil, err
 		}
 	} else if learned, recent, err := store.LoadLearned(); err != nil {
-		cfg.Log.Error("learned state is not taken", "error", err)
+		log.Error("learned state is not taken", "error", err)
 	} else if recent {
 		bal.ImportState(learned)
 	}
@@ -117,31 +95,23 @@
 
 // openOperatorState returns the store that this proxy's processes share, or one in memory where there is no folder for it,
 // no operator who could say anything, or it can't be opened.
-func openOperatorState(cfg Config) *operatorstate.Store {
+func openOperatorState(cfg config.Config, log *slog.Logger) *operatorstate.Store {
 	if cfg.TempDir == "" || cfg.Console == "" {
-		return operatorstate.NewInMemory(cfg.Log)
+		return operatorstate.NewInMemory(log)
 	}
-	store, err := operatorstate.Open(cfg.TempDir, cfg.Name, cfg.Log)
+	store, err := operatorstate.Open(cfg.TempDir, cfg.Name, log)
 	if err != nil {
-		cfg.Log.Error("operator state is not stored", "error", err)
-		return operatorstate.NewInMemory(cfg.Log)
+		log.Error("operator state is not stored", "error", err)
+		return operatorstate.NewInMemory(log)
 	}
 	return store
 }
 
-// divide gives clients and backends their parts of the descriptors. Each open request has at most one attempt out,
-// and a third more connections to backends may be kept for the next. What is left is the clients': their open
-// requests, and those that are silent or idle.
-func divide(sockets int) (forClients, forBackends int) {
-	forBackends = sockets / requestPart * 4 / 3
-	return sockets - ownSockets - forBackends, forBackends
-}
-
 // open opens the listeners. Any process of this proxy may listen at the clients' address; the newest gets the
 // connections.
 func (p *Proxy) open() error {
 	before := p.operatorState.AcceptingPeers()
-	listener, err := socket.ListenShared(p.cfg.Listen, before, p.cfg.Log)
+	listener, err := socket.ListenShared(p.cfg.Listen, before, p.log)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
@@ -156,7 +126,7 @@
 		return err
 	}
 	close(p.opened)
-	p.cfg.Log.Info("open", "address", p.cfg.Listen, "console", p.cfg.Console, "others", before)
+	p.log.Info("open", "address", p.cfg.Listen, "console", p.cfg.Console, "others", before)
 	return nil
 }
 
@@ -175,7 +145,7 @@
 	defer parts.Wait()
 	defer stop()
 	p.front.lameDuck(p.operatorState.Current().LameDuck)
-	p.cfg.Log.Info("settings in force", "version", p.loop.inForce.Load().version, "discovery", p.cfg.Discovery)
+	p.log.Info("settings in force", "version", p.loop.inForce.Load().Version, "discovery", p.cfg.Discovery)
 	parts.Go(func() { p.loop.run(inner) })
 	parts.Go(func() { p.watch(inner) })
 	if p.operatorState.Shared() {
@@ -197,21 +167,21 @@
 		defer p.console.close()
 		parts.Go(func() {
 			if err := p.console.serve(); err != nil {
-				p.cfg.Log.Error("no calls are taken any more", "error", err)
+				p.log.Error("no calls are taken any more", "error", err)
 			}
 		})
 	}
 	var failed error
 	select {
 	case failed = <-served: // what has been taken is answered all the same
-		p.cfg.Log.Error("no connections are taken any more", "error", failed)
+		p.log.Error("no connections are taken any more", "error", failed)
 	case <-ctx.Done():
 	}
 	told := time.Now()
 	p.front.succeeded.Store(p.operatorState.AcceptingPeers() > 0)
 	p.front.terminate()
 	p.operatorState.StopAccepting()
-	window := min(p.loop.inForce.Load().longestAt(told), killAfter) + killLeeway
+	window := min(p.loop.inForce.Load().LongestDeadline(told), killAfter) + killLeeway
 	cutoff := told.Add(window)
 	lastCall := balancer.Microseconds(0)
 	if p.front.succeeded.Load() {
@@ -268,7 +238,7 @@
 	for addr := p.cfg.Discovery; ctx.Err() == nil; known, subscribe = discovery.NoVersion, false {
 		one, stop := context.WithCancel(ctx)
 		client := discovery.NewClient(discovery.Options{Address: addr, Known: known, Ask: p.cfg.Site.Balancer.SubscribeRequired,
-			AwaitRequest: subscribe, Updates: p.loop.lists, Requests: p.loop.asked, Log: p.cfg.Log})
+			AwaitRequest: subscribe, Updates: p.loop.lists, Requests: p.loop.asked, Log: p.log})
 		var part sync.WaitGroup
 		part.Go(func() { client.Run(one) })
 		addr = p.renewed(ctx, addr)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -18,6 +18,7 @@
 	"time"
 
 	"baylock/balancer"
+	"baylock/internal/config"
 	"baylock/internal/discovery"
 	"baylock/internal/message"
 	"baylock/internal/microtime"
@@ -95,8 +96,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := Config{Listen: "127.0.0.1:0", Discovery: watched, Seed: 7, Sockets: sockets, Site: site,
-		Log: slog.New(slog.DiscardHandler)}
+	cfg := config.Config{Listen: "127.0.0.1:0", Discovery: watched, Seed: 7, Limits: config.Limits{Sockets: sockets}, Site: site}
 	if known != "" {
 		if cfg.Known, err = discovery.ParseList([]byte(known)); err != nil {
 			t.Fatal(err)
@@ -105,9 +105,9 @@
 	return start(t, cfg)
 }
 
-func start(t *testing.T, cfg Config) *running {
+func start(t *testing.T, cfg config.Config) *running {
 	t.Helper()
-	p, err := New(cfg)
+	p, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -571,8 +571,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	start(t, Config{Listen: "127.0.0.1:0", Discovery: d.addr, Seed: 7, Sockets: 200, Site: site, Known: known,
-		Log: slog.New(slog.DiscardHandler)})
+	start(t, config.Config{Listen: "127.0.0.1:0", Discovery: d.addr, Seed: 7, Limits: config.Limits{Sockets: 200}, Site: site, Known: known})
 	got := wait(t, "call", d.calls)
 	opened := time.Now()
 	var ms int64
@@ -602,8 +601,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := start(t, Config{Listen: "127.0.0.1:0", Discovery: d.addr, Seed: 7, Sockets: 200, Site: site, Known: known,
-		Log: slog.New(slog.DiscardHandler)})
+	p := start(t, config.Config{Listen: "127.0.0.1:0", Discovery: d.addr, Seed: 7, Limits: config.Limits{Sockets: 200}, Site: site, Known: known})
 	wait(t, "watch", d.calls)
 	silent := time.Now()
 	wait(t, "call for the whole list", d.calls)
@@ -630,8 +628,7 @@
 	}
 	d.say <- listText(1, true, listed("a", a.addr, discovery.Serving))
 	began := time.Now()
-	p := start(t, Config{Listen: "127.0.0.1:0", Discovery: d.addr, Seed: 7, Sockets: 200, Site: site,
-		Log: slog.New(slog.DiscardHandler)})
+	p := start(t, config.Config{Listen: "127.0.0.1:0", Discovery: d.addr, Seed: 7, Limits: config.Limits{Sockets: 200}, Site: site})
 	waitUntil(t, func() bool { return p.health(t) == http.StatusOK })
 	if took := time.Since(began); took > 10*time.Second {
 		t.Errorf("ready after %v", took)
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -11,12 +11,13 @@
 	"time"
 
 	"baylock/balancer"
+	"baylock/internal/config"
 	"baylock/internal/discovery"
 	"baylock/internal/settings"
 )
 
 // changed is the configuration of a running proxy with pairs of texts of the test settings replaced.
-func changed(t *testing.T, p *running, version string, replace ...string) Config {
+func changed(t *testing.T, p *running, version string, replace ...string) config.Config {
 	t.Helper()
 	for i := 0; i < len(replace); i += 2 {
 		if !strings.Contains(siteText, replace[i]) {
@@ -32,7 +33,7 @@
 	return cfg
 }
 
-func (p *running) mustReload(t *testing.T, cfg Config) {
+func (p *running) mustReload(t *testing.T, cfg config.Config) {
 	t.Helper()
 	if err := p.Reload(cfg); err != nil {
 		t.Fatal(err)
@@ -106,7 +107,7 @@
 	b := startBackend(t, says(served, true))
 	// Each request may need a connection of its own, as one rests after its use.
 	p := startProxy(t, startDiscovery(t).addr, 4000, listText(1, true, listed("a", b.addr, discovery.Serving)))
-	configs := []Config{
+	configs := []config.Config{
 		changed(t, p, "b", lookProfile, scanProfile+lookProfile, `"siblings":1`, `"siblings":3`,
 			`"tenants":[`, `"tenants":[{"name":"other","portion":0.1,"quota_per_s":5},`,
 			`"failure_domains":["a"]`, `"failure_domains":["b","a"]`, `"my_zone":0`, `"my_zone":1`),
@@ -165,23 +166,23 @@
 	p, _, _ := operated(t)
 	p.mustReload(t, changed(t, p, "first"))
 	before, most := p.loop.inForce.Load(), p.most()
-	for want, spoil := range map[string]func(*Config){
-		"name":              func(c *Config) { c.Name = "other" },
-		"listen":            func(c *Config) { c.Listen = "127.0.0.1:1" },
-		"console":           func(c *Config) { c.Console = "" },
-		"discovery":         func(c *Config) { c.Discovery = "nowhere" },
-		"too few":           func(c *Config) { c.Sockets = 40 },
-		"dial_timeout":      func(c *Config) { c.Site.DialTimeout = 0 },
-		"profiles[2].name":  func(c *Config) { c.Site.Classes[2] = c.Site.Classes[1] },
-		"Tier":              func(c *Config) { c.Site.Balancer.Tier = 1 },
-		"SubscribeRequired": func(c *Config) { c.Site.Balancer.SubscribeRequired, c.Site.Balancer.MaxPollInterval = true, 1 },
-		"Zone":              func(c *Config) { c.Site.Balancer.Zone = 5 },
-		"Deadline":          func(c *Config) { c.Site.Balancer.Classes[0].Deadline = 0 },
-		"Tenants":           func(c *Config) { c.Site.Balancer.Tenants[0].RateQuota = -1 },
+	for want, spoil := range map[string]func(*config.Config){
+		"name":              func(c *config.Config) { c.Name = "other" },
+		"listen":            func(c *config.Config) { c.Listen = "127.0.0.1:1" },
+		"console":           func(c *config.Config) { c.Console = "" },
+		"discovery":         func(c *config.Config) { c.Discovery = "nowhere" },
+		"too few":           func(c *config.Config) { c.Limits.Sockets = 40 },
+		"dial_timeout":      func(c *config.Config) { c.Site.DialTimeout = 0 },
+		"profiles[2].name":  func(c *config.Config) { c.Site.Classes[2] = c.Site.Classes[1] },
+		"Tier":              func(c *config.Config) { c.Site.Balancer.Tier = 1 },
+		"SubscribeRequired": func(c *config.Config) { c.Site.Balancer.SubscribeRequired, c.Site.Balancer.MaxPollInterval = true, 1 },
+		"Zone":              func(c *config.Config) { c.Site.Balancer.Zone = 5 },
+		"Deadline":          func(c *config.Config) { c.Site.Balancer.Classes[0].Deadline = 0 },
+		"Tenants":           func(c *config.Config) { c.Site.Balancer.Tenants[0].RateQuota = -1 },
 	} {
 		t.Run(want, func(t *testing.T) {
 			cfg := changed(t, p, "bad", lookProfile, scanProfile+lookProfile)
-			cfg.Sockets = 800
+			cfg.Limits.Sockets = 800
 			spoil(&cfg)
 			if err := p.Reload(cfg); err == nil || !strings.Contains(err.Error(), want) {
 				t.Errorf("got %v", err)
@@ -277,10 +278,10 @@
 			if sent := b.requests.Load(); resp.StatusCode != c.want || (sent > 0) != (c.want == 200) {
 				t.Errorf("got %s after %d sends", resp.Status, sent)
 			}
-			site := p.loop.inForce.Load().site
+			site := p.loop.inForce.Load().Site
 			if r, ok := <-ids; ok && site.Classes[r.Class] != "look" {
 				t.Errorf("taken as class %q", site.Classes[r.Class])
-			} else if ok && r.Tenant != noTenant && site.Tenants[r.Tenant] != "acme" {
+			} else if ok && r.Tenant != config.NoTenant && site.Tenants[r.Tenant] != "acme" {
 				t.Errorf("taken as tenant %q", site.Tenants[r.Tenant])
 			}
 		})
@@ -301,7 +302,7 @@
 		return body
 	}
 	p.mustReload(t, changed(t, p, "0123456789ab"))
-	at := p.loop.inForce.Load().taken.UTC().Format("2006-01-02T15:04:05.000Z")
+	at := p.loop.inForce.Load().TakenAt.UTC().Format("2006-01-02T15:04:05.000Z")
 	if got := ask(); got != "ok settings=0123456789ab taken="+at+"\n" {
 		t.Errorf("got %q", got)
 	}
@@ -320,21 +321,21 @@
 func TestSnapshotKeepsLongestDeadlineOfOpenRequests(t *testing.T) {
 	p, _ := serving(t, says(served, true))
 	const before, after = 8 * time.Second, 90 * time.Millisecond
-	first := p.loop.inForce.Load().taken
+	first := p.loop.inForce.Load().TakenAt
 	short := []string{"8000000", "90000", "4000000", "80000", "1000000,", "80000,"}
 	p.mustReload(t, changed(t, p, "", short...))
-	second := p.loop.inForce.Load().taken
+	second := p.loop.inForce.Load().TakenAt
 	p.mustReload(t, changed(t, p, "again", short...))
 	in := p.loop.inForce.Load()
 	for _, c := range []struct {
 		at   time.Time
 		want time.Duration
 	}{
-		{in.taken, before},
+		{in.TakenAt, before},
 		{second.Add(before - time.Nanosecond), before}, // the second reload makes it no later
 		{second.Add(before), after},
 	} {
-		if got := in.longestAt(c.at); got != c.want {
+		if got := in.LongestDeadline(c.at); got != c.want {
 			t.Errorf("%v after the start: %v, want %v", c.at.Sub(first), got, c.want)
 		}
 	}
@@ -344,9 +345,9 @@
 func TestReloadAppliesLimits(t *testing.T) {
 	p, _ := serving(t, says(served, true))
 	cfg := changed(t, p, "")
-	cfg.Sockets, cfg.MemoryMB = 500, 100
+	cfg.Limits.Sockets, cfg.Limits.MemoryMB = 500, 100
 	p.mustReload(t, cfg)
-	forClients, forBackends := divide(500)
+	forClients, forBackends := cfg.Limits.Connections()
 	pool := p.loop.pool
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -354,38 +355,7 @@
 		t.Errorf("%d for clients, %d for backends, %d bytes for bodies", p.most(), pool.most, p.front.budget.Limit())
 	}
 	t.Cleanup(func() { // the runtime's limit holds for all tests
-		cfg.MemoryMB = 0
+		cfg.Limits.MemoryMB = 0
 		p.mustReload(t, cfg)
 	})
 }
-
-// Zones keep their numbers in whatever order settings name them, and so do those that only later settings name.
-func TestSnapshotKeepsZoneNumbers(t *testing.T) {
-	zones := discovery.NewZones([]string{"a", "b"})
-	site, err := settings.Decode([]byte(siteText))
-	if err != nil {
-		t.Fatal(err)
-	}
-	number := func(mine int, names ...string) int {
-		t.Helper()
-		site.Zones, site.Balancer.Zones, site.Balancer.Zone = names, len(names), mine
-		s, err := newSnapshot(Config{Sockets: 200, Site: site}, zones)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if _, err := balancer.New(s.logic, 1); err != nil {
-			t.Error(err)
-		}
-		return s.logic.Zone
-	}
-	if a, b := number(0, "a", "b"), number(1, "a", "b"); a != 0 || b != 1 {
-		t.Errorf("a is %d, b is %d", a, b)
-	}
-	if got := number(0, "b", "a"); got != 1 {
-		t.Errorf("b is now %d", got)
-	}
-	server := zones.Servers([]discovery.Endpoint{{Name: "s", Zone: "c"}})[0]
-	if got := number(2, "b", "a", "c"); got != server.Zone {
-		t.Errorf("c is %d, its servers are in %d", got, server.Zone)
-	}
-}
--- a/internal/proxy/takeover_test.go
+++ b/internal/proxy/takeover_test.go
@@ -18,6 +18,7 @@
 	"time"
 
 	"baylock/balancer"
+	"baylock/internal/config"
 	"baylock/internal/discovery"
 	"baylock/internal/settings"
 )
@@ -137,7 +138,7 @@
 }
 
 func runToBeKilled(text string) error {
-	var cfg Config
+	var cfg config.Config
 	if err := json.Unmarshal([]byte(text), &cfg); err != nil {
 		return err
 	}
@@ -148,8 +149,7 @@
 	if cfg.Known, err = discovery.ParseList([]byte(os.Getenv("PROXY_KNOWN"))); err != nil {
 		return err
 	}
-	cfg.Log = slog.New(slog.NewTextHandler(os.Stderr, nil))
-	p, err := New(cfg)
+	p, err := New(cfg, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	if err != nil {
 		return err
 	}
@@ -165,8 +165,8 @@
 	old := startWithConsole(t, dir, "127.0.0.1:0", d.addr, entries...)
 	before := old.most()
 	operate(t, old, "POST /_backends/detach", "a")
-	cfg, err := json.Marshal(Config{Name: "n0", Listen: old.Addr(), Console: "127.0.0.1:0", TempDir: dir,
-		Discovery: d.addr, Seed: 8, Sockets: 400})
+	cfg, err := json.Marshal(config.Config{Name: "n0", Listen: old.Addr(), Console: "127.0.0.1:0", TempDir: dir,
+		Discovery: d.addr, Seed: 8, Limits: config.Limits{Sockets: 400}})
 	if err != nil {
 		t.Fatal(err)
 	}
