--- a/internal/config/snapshot_test.go
+++ b/internal/config/snapshot_test.go
@@ -53,7 +53,7 @@
 	if got := number(0, "b", "a"); got != 1 {
 		t.Errorf("b is now %d", got)
 	}
-	server := zones.Servers([]discovery.Endpoint{{Name: "s", Zone: "c"}})[0]
+	server := zones.Endpoints([]discovery.Endpoint{{Name: "s", Zone: "c"}})[0]
 	if got := number(2, "b", "a", "c"); got != server.Zone {
 		t.Errorf("c is %d, its endpoints are in %d", got, server.Zone)
 	}
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -10,36 +10,37 @@
 	"time"
 )
 
-// MembersPath is where discovery serves the list. Without a query it answers with the whole list at once; with
-// FromQuery and HoldQuery it is a watch.
+// MembersPath is where the service has the list. Without a query it answers with the whole list at once; with FromQuery
+// and HoldQuery the call is a watch.
 const (
 	MembersPath = "/catalog/members"
 	FromQuery   = "from"    // the version that the caller has
-	HoldQuery   = "hold_ms" // how long the call may wait for something newer, in milliseconds
+	HoldQuery   = "hold_ms" // how long the call may wait for changes, in milliseconds
 )
 
-const maxList = 4 << 20 // bytes of an answer
+const maxListBytes = 4 << 20
 
+// errBusy is returned where the service rejects a call because of its load, or is down.
 var errBusy = errors.New("discovery is busy or down")
 
-// call asks for what is newer than a version, or for the whole list if that is NoVersion.
+// call asks for what has changed since a version, or for the whole list if that is NoVersion.
 func (c *Client) call(ctx context.Context, from int64) (*List, error) {
-	url, patience := "http://"+c.Address+MembersPath, c.whole
+	url, timeout := "http://"+c.Address+MembersPath, c.snapshotTimeout
 	if from >= 0 {
-		hold := c.hold - time.Duration(c.Random.Int64N(int64(c.spread)+1))
+		wait := c.watchWait - time.Duration(c.Random.Int64N(int64(c.policy.watchWaitSpread)+1))
 		url += "?" + FromQuery + "=" + strconv.FormatInt(from, 10) +
-			"&" + HoldQuery + "=" + strconv.FormatInt(hold.Milliseconds(), 10)
-		patience = hold + c.patience
+			"&" + HoldQuery + "=" + strconv.FormatInt(wait.Milliseconds(), 10)
+		timeout = wait + c.policy.watchTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return nil, fmt.Errorf("ask for the list: %w", err)
+		return nil, fmt.Errorf("request the list: %w", err)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, fmt.Errorf("ask for the list: %w", err)
+		return nil, fmt.Errorf("request the list: %w", err)
 	}
 	defer resp.Body.Close()
 	return readList(resp)
@@ -50,15 +51,15 @@
 		return nil, errBusy
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("ask for the list: status %s", resp.Status)
+		return nil, fmt.Errorf("request the list: status %s", resp.Status)
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxList))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
 		return nil, fmt.Errorf("read the list: %w", err)
 	}
 	list, err := ParseList(data)
 	if err != nil {
-		return nil, fmt.Errorf("garbled list: %w", err)
+		return nil, fmt.Errorf("invalid list: %w", err)
 	}
 	return list, nil
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -11,78 +11,52 @@
 	"time"
 )
 
-const (
-	// How long a watch may wait for news. A connection to discovery can fall silent, and nothing shows it but
-	// an answer that is overdue: what was to be told meanwhile counts as told 6 s after that, or 2 s after the wait
-	// if that is later. Where the list is pushed, asking costs nothing; where it is asked, all proxies share one
-	// service.
-	pushHold = 2 * time.Second
-	askHold  = 2500 * time.Millisecond // and down to two thirds of it, or all proxies would find a silence at once
-	// All proxies of a fleet wait in turn, and each watch is one call: where calls fail, the waits of those that follow
-	// grow to this, so that the service keeps up, and shrink again with each answer.
-	askMost   = 4 * time.Second
-	askLonger = 1.25
-	askLess   = 50 * time.Millisecond
-
-	// An answer is overdue so long after a watch's wait, and the whole list after wholePatience. Where the list is
-	// pushed an agent on this machine answers at once or, while discovery is down, not at all, and what it learns when
-	// discovery returns counts as told at once. It then answers the watches whose wait is not over, so there has to
-	// be one at any time but for moments well within the grace of a drain.
-	pushPatience  = 100 * time.Millisecond
-	wholePatience = 150 * time.Millisecond
-	wholeMost     = time.Second // where no version is known to watch from, in the end
-	askPatience   = 500 * time.Millisecond
-	// Calls wait in turn, and one given up has to wait again. But a change counts as told 6 s after the list had it,
-	// whatever call fell silent, was refused or was given up: a watch that is silent, a call for the whole list that is
-	// given up and the module's rest before the next one take less.
-	askWhole     = 2200 * time.Millisecond
-	askWholeMost = 8 * time.Second // after such that were given up: in a fleet that starts, all wait
-
-	retryFirst   = 50 * time.Millisecond  // after a call that failed at once
-	retryMost    = 100 * time.Millisecond // at most
-	askRetryMost = time.Second            // the same where all proxies share one service
-)
-
-// NoVersion stands for a version that is not known: the whole list has to be asked for.
+// NoVersion stands for a version that is not known: only the whole list helps.
 const NoVersion int64 = -1
 
+const maxConnections = 2
+
+var errVersionWentBack = errors.New("the list's version went back")
+
 // Dialer opens a connection to the discovery service.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Update is what a call to discovery brought.
+// Update is the result of a call to the discovery service.
 type Update struct {
-	List *List // nil: the call failed, and the list as last told stands
+	List *List // nil if the call failed: the list as last received stands
 }
 
-// Options say where discovery is and how a Client is to watch it.
+// Options configure a Client.
 type Options struct {
-	Address string // host:port
+	Address string // host:port of the service
 	Known   int64  // the version of the list that the caller has from this address, or NoVersion
-	Ask     bool   // the list has to be asked for, from a service that all proxies share; otherwise it is pushed
-	// With Ask: no call is made before Requests says so. Otherwise the first one is made at once.
+	// Poll is set where all proxies share one service, and the list has to be polled. Otherwise an agent on this machine
+	// has the list pushed to it.
+	Poll bool
+	// AwaitRequest, with Poll, keeps the client from its first call until Requests holds something.
 	AwaitRequest bool
 
-	Updates  chan<- Update   // takes what each call brought, in order
-	Requests <-chan struct{} // with Ask: the decision module's word to open a watch
+	Updates  chan<- Update   // receives the result of each call, in order
+	Requests <-chan struct{} // with Poll: the balancer asks for a watch
 	Log      *slog.Logger
 
-	Dial   Dialer     // nil: over TCP
-	Random *rand.Rand // draws waits and retries; nil: seeded at random. Run alone may use it
+	Dial   Dialer     // nil for TCP
+	Random *rand.Rand // draws waits and backoffs; nil for one that is seeded at random. Only Run uses it
 }
 
-// Client keeps a watch on the list of backends and hands on each answer.
+// Client keeps a watch on the endpoint list of a discovery service.
 type Client struct {
 	Options
-	http *http.Client
-
-	version   int64         // of the list as last told; NoVersion if it is in doubt
-	wantWhole bool          // the next call asks for the whole list
-	requested bool          // with Ask: the next call needs no word of the module
-	hold      time.Duration // how long a watch may wait for news
-	spread    time.Duration // waits are drawn up to so much below hold
-	patience  time.Duration // an answer may come so long after a watch's wait
-	whole     time.Duration // the answer with the whole list may take so long
-	retry     time.Duration // before the next call after one that failed at once
+	http   *http.Client
+	policy policy
+
+	version      int64 // of the list as last received, or NoVersion where that is in doubt
+	needSnapshot bool  // the next call asks for the whole list
+	requested    bool  // with Poll: the next call needs no request of the balancer
+
+	watchWait       time.Duration // the longest time that a watch may wait for changes
+	snapshotTimeout time.Duration
+	backoff         time.Duration // before the next call after one that failed at once
 }
 
 // NewClient returns a client that makes its first call in Run.
@@ -90,24 +64,31 @@
 	if o.Random == nil {
 		o.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
-	transport := &http.Transport{MaxConnsPerHost: 2, DisableCompression: true, DialContext: o.Dial}
-	c := &Client{Options: o, http: &http.Client{Transport: transport}, version: o.Known,
-		wantWhole: !o.Ask || o.Known < 0, requested: !o.AwaitRequest, retry: retryFirst,
-		hold: pushHold, patience: pushPatience, whole: wholePatience}
-	if o.Ask {
-		c.hold, c.spread, c.patience, c.whole = askHold, askHold/3, askPatience, askWhole
+	transport := &http.Transport{MaxConnsPerHost: maxConnections, DisableCompression: true, DialContext: o.Dial}
+	c := &Client{
+		Options:      o,
+		http:         &http.Client{Transport: transport},
+		policy:       agentPolicy,
+		version:      o.Known,
+		needSnapshot: !o.Poll || o.Known < 0,
+		requested:    !o.AwaitRequest,
+		backoff:      minBackoff,
+	}
+	if o.Poll {
+		c.policy = pollPolicy
 	}
+	c.watchWait, c.snapshotTimeout = c.policy.minWatchWait, c.policy.minSnapshotTimeout
 	return c
 }
 
-// Run watches until the context ends. It begins with the whole list, and so it does after an answer that makes no
-// sense or breaks off: the version may be in doubt then. Where calls wait in turn and a version is known, one call has
-// to do. The next watch follows its answer at once, lest changes in between count as told late.
+// Run watches the list until the context ends. It begins with the whole list unless it polls and knows a version, and
+// asks for the whole list again after an answer that is invalid or incomplete, as the version is in doubt then. Each
+// watch follows the previous answer at once: the service counts changes in between as received late.
 func (c *Client) Run(ctx context.Context) {
 	defer c.http.CloseIdleConnections()
-	for c.mayCall(ctx) {
+	for c.awaitRequest(ctx) {
 		from := c.version
-		if c.wantWhole {
+		if c.needSnapshot {
 			from = NoVersion
 		}
 		list, err := c.call(ctx, from)
@@ -115,20 +96,20 @@
 			return
 		}
 		if err == nil && !list.Snapshot && list.Index < from {
-			err = fmt.Errorf("version went back from %d to %d", from, list.Index)
+			err = fmt.Errorf("%w from %d to %d", errVersionWentBack, from, list.Index)
 			c.version = NoVersion
 		}
 		if err != nil {
-			c.failed(ctx, from, err)
+			c.handleFailure(ctx, from, err)
 		} else {
-			c.answered(ctx, list)
+			c.handleList(ctx, list)
 		}
 	}
 }
 
-// mayCall waits for the module's word where one is needed. It returns false once the context has ended.
-func (c *Client) mayCall(ctx context.Context) bool {
-	if c.Ask && !c.requested {
+// awaitRequest waits for a request of the balancer where one is needed. It returns false once the context has ended.
+func (c *Client) awaitRequest(ctx context.Context) bool {
+	if c.Poll && !c.requested {
 		select {
 		case <-c.Requests:
 		case <-ctx.Done():
@@ -137,73 +118,62 @@
 	return ctx.Err() == nil
 }
 
-func (c *Client) answered(ctx context.Context, list *List) {
-	c.version, c.wantWhole, c.retry, c.requested = list.Index, false, retryFirst, true
-	if c.Ask {
-		c.hold, c.whole = max(askHold, c.hold-askLess), askWhole
+func (c *Client) handleList(ctx context.Context, list *List) {
+	c.version, c.needSnapshot, c.requested = list.Index, false, true
+	c.backoff = minBackoff
+	if c.Poll {
+		c.watchWait = max(c.policy.minWatchWait, c.watchWait-watchWaitDecrease)
+		c.snapshotTimeout = c.policy.minSnapshotTimeout
 	}
-	c.tell(ctx, Update{List: list})
+	c.publish(ctx, Update{List: list})
 }
 
-// failed decides what follows a call that brought no list. Where the list is pushed, a watch from the version that the
-// caller has follows a silence at once: a call for the whole list would not outlast the silence. Where it is asked for,
-// the whole list follows a watch's silence at once, and the module says when to ask after any other failure, but while
-// there is no list from this address.
-func (c *Client) failed(ctx context.Context, from int64, err error) {
+// handleFailure decides what follows a call that returned no list. from is the version that the call asked from.
+//
+// An agent that gives no answer to a watch is asked from the same version at once, since a call for the whole list would
+// time out before the silence ends. With Poll a watch that times out is followed by a call for the whole list at once;
+// after any other failure the balancer requests the next call, unless there is no list from this address yet.
+func (c *Client) handleFailure(ctx context.Context, from int64, err error) {
 	c.Log.Warn("discovery", "error", err)
-	silent := errors.Is(err, context.DeadlineExceeded)
+	timedOut := errors.Is(err, context.DeadlineExceeded)
 	if !errors.Is(err, errBusy) {
-		c.wantWhole = c.version < 0 || c.Ask || !silent
+		c.needSnapshot = c.version < 0 || c.Poll || !timedOut
 	}
-	if silent && from < 0 { // a busy core, or many in turn, may be what is slow
-		c.whole = min(2*c.whole, c.wholeMost())
+	if timedOut && from < 0 { // a busy core or a long queue may be the cause
+		c.snapshotTimeout = min(2*c.snapshotTimeout, c.policy.maxSnapshotTimeout)
 	}
-	if !c.Ask {
-		c.rest(ctx, silent)
+	if !c.Poll {
+		c.backOff(ctx, timedOut)
 		return
 	}
-	c.hold = min(askMost, time.Duration(askLonger*float64(c.hold)))
+	c.watchWait = min(c.policy.maxWatchWait, time.Duration(watchWaitGrowth*float64(c.watchWait)))
 	withoutList := c.version < 0
-	c.requested = withoutList || silent && from >= 0
+	c.requested = withoutList || timedOut && from >= 0
 	if withoutList {
-		c.rest(ctx, silent)
+		c.backOff(ctx, timedOut)
 	} else if !c.requested {
-		c.tell(ctx, Update{})
-	}
-}
-
-func (c *Client) wholeMost() time.Duration {
-	if c.Ask {
-		return askWholeMost
-	}
-	return wholeMost
-}
-
-func (c *Client) retryMost() time.Duration {
-	if c.Ask {
-		return askRetryMost
+		c.publish(ctx, Update{})
 	}
-	return retryMost
 }
 
-// rest waits before the next call, unless the last one has taken its time already.
-func (c *Client) rest(ctx context.Context, silent bool) {
-	if silent {
+// backOff waits before the next call, unless the last one has taken its time already.
+func (c *Client) backOff(ctx context.Context, timedOut bool) {
+	if timedOut {
 		return
 	}
 	select {
-	case <-time.After(c.jitter(c.retry)):
+	case <-time.After(c.jitter(c.backoff)):
 	case <-ctx.Done():
 	}
-	c.retry = min(2*c.retry, c.retryMost())
+	c.backoff = min(2*c.backoff, c.policy.maxBackoff)
 }
 
-// jitter is a part of a wait, so that proxies that lost discovery together do not come back together.
+// jitter draws a time from the upper half of a wait, so that proxies that failed together don't retry together.
 func (c *Client) jitter(wait time.Duration) time.Duration {
 	return wait/2 + time.Duration(c.Random.Int64N(int64(wait/2+1)))
 }
 
-func (c *Client) tell(ctx context.Context, u Update) {
+func (c *Client) publish(ctx context.Context, u Update) {
 	select {
 	case c.Updates <- u:
 	case <-ctx.Done():
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// Discovery went down under all proxies at once, and each asked again at the same instants.
-func TestRetriesAreSpread(t *testing.T) {
+// Proxies that lost the service together must not retry at the same instants.
+func TestJitterSpreadsBackoff(t *testing.T) {
 	c := NewClient(Options{})
+	longest := agentPolicy.maxBackoff
 	seen := map[time.Duration]bool{}
 	for range 100 {
-		w := c.jitter(retryMost)
-		if seen[w] = true; w < retryMost/2 || w > retryMost {
-			t.Fatalf("waits %v", w)
+		wait := c.jitter(longest)
+		if seen[wait] = true; wait < longest/2 || wait > longest {
+			t.Fatalf("waits %v", wait)
 		}
 	}
 	if len(seen) < 50 {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,6 +1,5 @@
-// Package discovery is the client of the discovery service: it keeps a watch on the list of backends, reads the
-// forms in which the service tells it, and numbers the zones that it names. The real proxies and the scale tool's
-// hollow ones share it.
+// Package discovery is the client of the discovery service: it watches the endpoint list, parses it, and numbers the
+// zones that it names.
 package discovery
 
 import (
@@ -10,35 +9,35 @@
 	"net"
 )
 
-// Status is what the list says of a backend.
+// Status is the state of a backend in the list.
 type Status string
 
 // The statuses of a backend.
 const (
 	Serving  Status = "SERVING"
-	Draining Status = "DRAINING" // it finishes what it has and wants nothing new
-	Deleted  Status = "DELETED"  // only among changes
+	Draining Status = "DRAINING" // it finishes its open requests and gets no new ones
+	Deleted  Status = "DELETED"  // only in lists of changes
 )
 
-// Endpoint is one entry of the list, in the form of the wire.
+// Endpoint is one entry of the list.
 type Endpoint struct {
 	Name    string   `json:"name"`
 	Address string   `json:"address"` // host:port
 	Zone    string   `json:"zone"`
-	Group   int      `json:"group"` // the cell whose backends drop a key's repeats between them
+	Cell    int      `json:"group"` // backends of one cell share the deduplication of idempotency keys
 	Status  Status   `json:"status"`
-	Weight  *float64 `json:"weight,omitempty"` // its size; nil if the list does not tell
-	SinceMs int64    `json:"since_ms"`         // Unix time of its last start in milliseconds; 0: long ago
+	Weight  *float64 `json:"weight,omitempty"` // capacity; nil if the list has none
+	SinceMs int64    `json:"since_ms"`         // Unix time of its last start in milliseconds, or 0 if that was long ago
 }
 
-// List is the list of backends at one version, or what has changed in it up to that version.
+// List is the endpoint list at one version, or what has changed in it up to that version.
 type List struct {
-	Index     int64      `json:"index"`
-	Snapshot  bool       `json:"snapshot"` // the whole list
+	Index     int64      `json:"index"`    // the version
+	Snapshot  bool       `json:"snapshot"` // whether it is the whole list
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// ParseList reads a list in the form of the wire. A list with an entry that makes no sense is no list.
+// ParseList parses a list as the service sends it. One invalid entry makes the list invalid.
 func ParseList(data []byte) (*List, error) {
 	var raw struct {
 		Index     *int64      `json:"index"`
--- a/internal/discovery/zones.go
+++ b/internal/discovery/zones.go
@@ -7,11 +7,12 @@
 	"baylock/balancer"
 )
 
-// Zones numbers zones by name: the settings' own from 0, any other by a hash, so that names without end leave
-// nothing behind.
+const microsecondsPerMillisecond = 1000
+
+// Zones numbers zones by name: those of the settings from 0, any other by a hash, so that their number is not limited.
 type Zones map[string]int
 
-// NewZones numbers the zones that the settings name.
+// NewZones returns the numbers of the zones that the settings name.
 func NewZones(names []string) Zones {
 	z := make(Zones, len(names))
 	for i, name := range names {
@@ -20,32 +21,38 @@
 	return z
 }
 
-// Number is the number of a zone.
+// Number returns the number of a zone.
 func (z Zones) Number(name string) int {
 	if n, ok := z[name]; ok {
 		return n
 	}
-	h := fnv.New32a()
-	_, _ = io.WriteString(h, name) // never fails
-	return len(z) + int(h.Sum32()>>1)
+	hash := fnv.New32a()
+	_, _ = io.WriteString(hash, name) // never fails
+	return len(z) + int(hash.Sum32()>>1)
 }
 
-// Servers turns entries into the decision module's. Its clock has to show Unix time in microseconds, since the start
-// times of backends are handed on as such.
-func (z Zones) Servers(entries []Endpoint) []balancer.Endpoint {
-	out := make([]balancer.Endpoint, 0, len(entries))
-	for _, e := range entries {
-		s := balancer.Endpoint{ID: e.Name, Zone: z.Number(e.Zone), Cell: e.Group, Capacity: 1, StartedAt: balancer.Microseconds(e.SinceMs * 1000)}
-		switch e.Status {
+// Endpoints converts entries of the list to the balancer's. The balancer's clock has to show Unix time in microseconds, as
+// the start times of backends are handed on as such.
+func (z Zones) Endpoints(entries []Endpoint) []balancer.Endpoint {
+	endpoints := make([]balancer.Endpoint, 0, len(entries))
+	for _, entry := range entries {
+		endpoint := balancer.Endpoint{
+			ID:        entry.Name,
+			Zone:      z.Number(entry.Zone),
+			Cell:      entry.Cell,
+			Capacity:  1,
+			StartedAt: balancer.Microseconds(entry.SinceMs * microsecondsPerMillisecond),
+		}
+		switch entry.Status {
 		case Serving:
-			s.State = balancer.Ready
+			endpoint.State = balancer.Ready
 		case Draining:
-			s.State = balancer.Draining
+			endpoint.State = balancer.Draining
 		}
-		if e.Weight != nil {
-			s.Capacity = *e.Weight
+		if entry.Weight != nil {
+			endpoint.Capacity = *entry.Weight
 		}
-		out = append(out, s)
+		endpoints = append(endpoints, endpoint)
 	}
-	return out
+	return endpoints
 }
--- a/internal/emulator/hollow/hollow.go
+++ b/internal/emulator/hollow/hollow.go
@@ -111,7 +111,7 @@
 // newClient returns a client of discovery that is set up as the real proxy's is.
 func newClient(cfg Config, l *loop) *discovery.Client {
 	o := cfg.Discovery
-	o.Known, o.Ask, o.AwaitRequest = discovery.NoVersion, cfg.Settings.SubscribeRequired, false
+	o.Known, o.Poll, o.AwaitRequest = discovery.NoVersion, cfg.Settings.SubscribeRequired, false
 	if cfg.Known != nil {
 		o.Known, o.AwaitRequest = cfg.Known.Index, cfg.Settings.SubscribeRequired
 	}
--- a/internal/emulator/hollow/loop.go
+++ b/internal/emulator/hollow/loop.go
@@ -197,7 +197,7 @@
 }
 
 func (l *loop) apply(kind balancer.UpdateKind, list *discovery.List) {
-	l.balancer.UpdateEndpoints(l.clock.Now(), l, kind, l.zones.Servers(list.Endpoints))
+	l.balancer.UpdateEndpoints(l.clock.Now(), l, kind, l.zones.Endpoints(list.Endpoints))
 }
 
 // take hands a request to the module. It has until the request's deadline to end it.
--- a/internal/emulator/registry/handler_test.go
+++ b/internal/emulator/registry/handler_test.go
@@ -30,7 +30,7 @@
 		}
 		weight := 1.5
 		second := serving("s-2")
-		second.Weight, second.Group, second.SinceMs, second.Status = &weight, 3, 17, discovery.Draining
+		second.Weight, second.Cell, second.SinceMs, second.Status = &weight, 3, 17, discovery.Draining
 		publish(t, s, "east", second, serving("s-1"))
 		l := c.ask(t, "")
 		want := `[{"name":"s-1","address":"10.0.0.1:80","zone":"a","group":0,"status":"SERVING","since_ms":0},` +
--- a/internal/emulator/registry/helpers_test.go
+++ b/internal/emulator/registry/helpers_test.go
@@ -117,7 +117,7 @@
 	w := &watcher{have: members{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	updates, requests := make(chan discovery.Update), make(chan struct{}, 1)
-	client := discovery.NewClient(discovery.Options{Address: "registry:80", Known: discovery.NoVersion, Ask: s.config.Ask,
+	client := discovery.NewClient(discovery.Options{Address: "registry:80", Known: discovery.NoVersion, Poll: s.config.Ask,
 		Updates: updates, Requests: requests, Log: slog.New(slog.DiscardHandler), Dial: s.Dialer(of, at),
 		Random: rand.New(rand.NewPCG(3, 4))})
 	var running sync.WaitGroup
--- a/internal/emulator/registry/listen_test.go
+++ b/internal/emulator/registry/listen_test.go
@@ -68,7 +68,7 @@
 			t.Fatal(err)
 		}
 		updates, requests := make(chan discovery.Update), make(chan struct{}, 1)
-		client := discovery.NewClient(discovery.Options{Address: address, Known: discovery.NoVersion, Ask: ask,
+		client := discovery.NewClient(discovery.Options{Address: address, Known: discovery.NoVersion, Poll: ask,
 			Updates: updates, Requests: requests, Log: slog.New(slog.DiscardHandler), Random: rand.New(rand.NewPCG(3, 4))})
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -446,7 +446,7 @@
 		},
 		"in another group": func(p *backends, a *attempt) {
 			e := entry("a", a.addr, discovery.Serving)
-			e.Group = 7
+			e.Cell = 7
 			p.apply(false, []discovery.Endpoint{e})
 		},
 		"stopped": func(_ *backends, a *attempt) { a.stop() },
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -204,7 +204,7 @@
 
 func (l *loop) apply(kind balancer.UpdateKind, list *discovery.List) {
 	l.pool.apply(kind != balancer.IncrementalUpdate, list.Endpoints)
-	l.bal.UpdateEndpoints(l.clock.Now(), l, kind, l.zones.Servers(list.Endpoints))
+	l.bal.UpdateEndpoints(l.clock.Now(), l, kind, l.zones.Endpoints(list.Endpoints))
 	select {
 	case <-l.listed:
 	default:
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -141,9 +141,9 @@
 			p.byName[e.Name] = b
 		}
 		if serving := e.Status == discovery.Serving; b.addr != e.Address || b.started != e.SinceMs || b.serving != serving ||
-			b.zone != e.Zone || b.group != e.Group {
+			b.zone != e.Zone || b.group != e.Cell {
 			b.addr, b.started, b.serving, b.ready = e.Address, e.SinceMs, serving, serving && !p.out[e.Name]
-			b.zone, b.group = e.Zone, e.Group
+			b.zone, b.group = e.Zone, e.Cell
 			p.advanceEpoch(b)
 		}
 		if e.Status == discovery.Deleted {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -237,7 +237,7 @@
 	}
 	for addr := p.cfg.Discovery; ctx.Err() == nil; known, subscribe = discovery.NoVersion, false {
 		one, stop := context.WithCancel(ctx)
-		client := discovery.NewClient(discovery.Options{Address: addr, Known: known, Ask: p.cfg.Site.Balancer.SubscribeRequired,
+		client := discovery.NewClient(discovery.Options{Address: addr, Known: known, Poll: p.cfg.Site.Balancer.SubscribeRequired,
 			AwaitRequest: subscribe, Updates: p.loop.lists, Requests: p.loop.asked, Log: p.log})
 		var part sync.WaitGroup
 		part.Go(func() { client.Run(one) })
--- a/internal/scale/depth/chain.go
+++ b/internal/scale/depth/chain.go
@@ -115,7 +115,7 @@
 	list := &discovery.List{Index: 1, Snapshot: true}
 	for i, name := range backendNames(tier, backends) {
 		list.Endpoints = append(list.Endpoints, discovery.Endpoint{Name: name, Address: name + ":80",
-			Zone: zones[i%len(zones)], Group: i, Status: discovery.Serving})
+			Zone: zones[i%len(zones)], Cell: i, Status: discovery.Serving})
 	}
 	return list
 }
--- a/internal/scale/propagation/fleet.go
+++ b/internal/scale/propagation/fleet.go
@@ -73,7 +73,7 @@
 		z := zones()[i%len(zones())]
 		service := i % f.size.services
 		own, calls := listName(service), listName((service+1)%f.size.services)
-		e := discovery.Endpoint{Name: fmt.Sprintf("backend-%03d", i), Zone: z.name, Group: i % len(zones()),
+		e := discovery.Endpoint{Name: fmt.Sprintf("backend-%03d", i), Zone: z.name, Cell: i % len(zones()),
 			Address: fmt.Sprintf("127.0.0.1:%d", 20000+i), Status: discovery.Serving}
 		if published[own] == nil {
 			published[own] = map[string][]discovery.Endpoint{}
--- a/internal/scale/traffic/backend.go
+++ b/internal/scale/traffic/backend.go
@@ -93,7 +93,7 @@
 	list := make([]discovery.Endpoint, count)
 	for i := range list {
 		list[i] = discovery.Endpoint{Name: fmt.Sprintf("backend-%04d", i), Address: b.Address, Zone: zones[i%len(zones)],
-			Group: i, Status: discovery.Serving}
+			Cell: i, Status: discovery.Serving}
 	}
 	return list
 }
