--- a/internal/operatorstate/store_test.go
+++ b/internal/operatorstate/store_test.go
@@ -64,13 +64,13 @@
 	if err != nil || recent {
 		t.Fatalf("recent %v, %v", recent, err)
 	}
-	if learned.Tier != 5.5 || learned.Share != 2 || len(learned.Classes) != 3 || len(learned.Servers) != 3 {
+	if learned.TierLimit != 5.5 || learned.QuotaMultiplier != 2 || len(learned.Classes) != 3 || len(learned.Endpoints) != 3 {
 		t.Fatalf("got %+v", learned)
 	}
-	if class := learned.Classes[0]; class.Name != "look" || class.Count != 5.5 || class.Mean != 58616.4272949933 {
+	if class := learned.Classes[0]; class.Name != "look" || class.Limit != 5.5 || class.MeanLatency != 58616.4272949933 {
 		t.Errorf("got class %+v", class)
 	}
-	if endpoint := learned.Servers["b"]; endpoint.Slowness != 0.38814410958214657 || len(endpoint.Classes) != 3 {
+	if endpoint := learned.Endpoints["b"]; endpoint.RelativeLatency != 0.38814410958214657 || len(endpoint.ClassHealth) != 3 {
 		t.Errorf("got endpoint %+v", endpoint)
 	}
 }
@@ -369,10 +369,10 @@
 	if _, recent, err := s.LoadLearned(); recent || err != nil {
 		t.Errorf("no file: recent %v, %v", recent, err)
 	}
-	if err := s.SaveLearned(balancer.LearnedState{Share: 0.5}); err != nil {
+	if err := s.SaveLearned(balancer.LearnedState{QuotaMultiplier: 0.5}); err != nil {
 		t.Fatal(err)
 	}
-	if got, recent, err := s.LoadLearned(); !recent || err != nil || got.Share != 0.5 {
+	if got, recent, err := s.LoadLearned(); !recent || err != nil || got.QuotaMultiplier != 0.5 {
 		t.Errorf("got %+v, recent %v, %v", got, recent, err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "fernlanding-n0.json.learned"), []byte(`{"at":"now`), 0o600); err != nil {
--- a/internal/scale/ramp/service.go
+++ b/internal/scale/ramp/service.go
@@ -66,7 +66,7 @@
 	var err error
 	svc.tier, err = backend.New(backend.Config{Names: svc.names, Classes: classes, Work: work, Latency: latency,
 		Workers: workers, Queue: queue, Seed: seeds.Uint64(),
-		Cold: backend.ColdStart{Capacity: startCapacity, Span: coldSpan, TipMultiple: c.tipMultiple, FallAfter: fallAfter}})
+		ColdStart: backend.ColdStart{InitialCapacity: startCapacity, WarmUp: coldSpan, OverloadFactor: c.tipMultiple, OverloadWindow: fallAfter}})
 	if err != nil {
 		return nil, err
 	}
@@ -95,8 +95,8 @@
 				SlowStartCapacity: startCapacity, SlowStartOverload: c.tipMultiple, SlowStartDuration: microtime.FromDuration(coldSpan)},
 			Discovery: discovery.Options{Address: "discovery:80",
 				Dial: svc.registry.Dialer(list, registry.Location{Name: name, Zone: zones[zone], Region: region})},
-			CallsPerSecond: c.load * warmRate * float64(s.backends) / float64(c.callers),
-			Answered:       svc.answers.add})
+			CallRate: c.load * warmRate * float64(s.backends) / float64(c.callers),
+			OnResult: svc.answers.add})
 		if err != nil {
 			return err
 		}
