--- a/internal/timing/clock.go
+++ b/internal/timing/clock.go
@@ -1,5 +1,4 @@
-// Package timing holds what an event loop that owns a decision module needs of time: the module's clock and a queue of
-// timers. Real and hollow proxies share it.
+// Package timing holds what an event loop that owns a balancer needs of time: the balancer's clock and a queue of timers.
 package timing
 
 import (
@@ -8,22 +7,22 @@
 	"baylock/internal/microtime"
 )
 
-// Clock gives the module's time: microseconds that begin at the Unix time of the start and then follow the monotonic
-// clock. Unix times that discovery gives compare with it, and a step of the wall clock does not.
+// Clock shows the balancer's time: microseconds that begin at the Unix time of the start and follow the monotonic clock
+// from there. Unix times from discovery compare with it, and a step of the wall clock doesn't change it.
 type Clock struct{ start time.Time }
 
 // NewClock returns a clock that starts now.
 func NewClock() Clock { return Clock{time.Now()} }
 
-// Now is the module's present time in microseconds.
+// Now returns the balancer's present time.
 func (c Clock) Now() microtime.Microseconds { return c.At(time.Now()) }
 
-// At is the module's time at an instant, in microseconds.
+// At returns the balancer's time at an instant.
 func (c Clock) At(t time.Time) microtime.Microseconds {
 	return microtime.Microseconds(c.start.UnixMicro() + t.Sub(c.start).Microseconds())
 }
 
-// Time is the instant of a time of the module, in microseconds.
+// Time returns the instant of a time of the balancer.
 func (c Clock) Time(micros microtime.Microseconds) time.Time {
 	return c.start.Add((micros - microtime.Microseconds(c.start.UnixMicro())).Duration())
 }
--- a/internal/timing/queue.go
+++ b/internal/timing/queue.go
@@ -6,50 +6,50 @@
 	"baylock/internal/microtime"
 )
 
-// outside is the position of a timer that is in no queue.
-const outside = -1
+// notQueued is the position of a timer that is in no queue.
+const notQueued = -1
 
-// Timer is an entry of a Queue: what is due, and when on a Clock. NewTimer makes it.
+// Timer is an entry of a Queue: a value, and when it is due on a Clock. NewTimer makes it.
 type Timer[T any] struct {
 	Value    T
 	due      microtime.Microseconds
 	position int
 }
 
-// NewTimer returns a timer that is in no queue yet. due is in microseconds of a Clock.
+// NewTimer returns a timer that is in no queue yet.
 func NewTimer[T any](due microtime.Microseconds, value T) *Timer[T] {
-	return &Timer[T]{Value: value, due: due, position: outside}
+	return &Timer[T]{Value: value, due: due, position: notQueued}
 }
 
-// Due is when the timer is due, in microseconds of a Clock.
+// Due returns when the timer is due.
 func (t *Timer[T]) Due() microtime.Microseconds { return t.due }
 
-// Queue holds timers, the next one first. A timer is in one queue at most. The zero Queue is empty and ready for use;
-// it is not safe for concurrent use.
+// Queue is a priority queue of timers, the next one first. A timer is in one queue at most. The zero Queue is empty and
+// ready for use; it is not safe for concurrent use.
 type Queue[T any] struct{ timers timerHeap[T] }
 
-// Len is how many timers the queue holds.
+// Len returns the number of timers in the queue.
 func (q *Queue[T]) Len() int { return len(q.timers) }
 
-// Add puts a timer in that is in no queue.
+// Add adds a timer that is in no queue.
 func (q *Queue[T]) Add(t *Timer[T]) { heap.Push(&q.timers, t) }
 
-// Remove takes a timer out, unless it is out already.
+// Remove removes a timer, if it is in the queue.
 func (q *Queue[T]) Remove(t *Timer[T]) {
-	if t.position != outside {
+	if t.position != notQueued {
 		heap.Remove(&q.timers, t.position)
 	}
 }
 
-// Move has a timer be due at another time, unless it is out already.
+// Move changes when a timer is due, if it is in the queue.
 func (q *Queue[T]) Move(t *Timer[T], due microtime.Microseconds) {
-	if t.position != outside {
+	if t.position != notQueued {
 		t.due = due
 		heap.Fix(&q.timers, t.position)
 	}
 }
 
-// Next is when the next timer is due; ok is false if there is none.
+// Next returns when the next timer is due; ok is false if there is none.
 func (q *Queue[T]) Next() (due microtime.Microseconds, ok bool) {
 	if len(q.timers) == 0 {
 		return 0, false
@@ -57,7 +57,7 @@
 	return q.timers[0].due, true
 }
 
-// TakeDue takes out the next timer that is due by now, or returns nil.
+// TakeDue removes and returns the next timer that is due by now, or returns nil.
 func (q *Queue[T]) TakeDue(now microtime.Microseconds) *Timer[T] {
 	if due, ok := q.Next(); !ok || due > now {
 		return nil
@@ -84,7 +84,7 @@
 func (h *timerHeap[T]) Pop() any {
 	old := *h
 	last := old[len(old)-1]
-	old[len(old)-1], last.position = nil, outside
+	old[len(old)-1], last.position = nil, notQueued
 	*h = old[:len(old)-1]
 	return last
 }
--- a/internal/timing/timing_test.go
+++ b/internal/timing/timing_test.go
@@ -1,6 +1,8 @@
 package timing
 
 import (
+	"context"
+	"errors"
 	"math/rand/v2"
 	"slices"
 	"testing"
@@ -9,46 +11,46 @@
 	"baylock/internal/microtime"
 )
 
-// A queue gives what a sorted list gives, whatever is added, moved, removed and taken.
-func TestQueueKeepsTheOrder(t *testing.T) {
+// A queue and a plain list agree whatever is added, moved, removed and taken.
+func TestQueueTakesTimersInOrder(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 7))
 	var queue Queue[int]
-	var held []*Timer[int]
+	var queued []*Timer[int]
 	for step := range 20_000 {
 		due := microtime.Microseconds(random.Int64N(1000))
 		switch random.IntN(5) {
 		case 0, 1:
 			timer := NewTimer(due, step)
 			queue.Add(timer)
-			held = append(held, timer)
+			queued = append(queued, timer)
 		case 2:
-			if len(held) > 0 {
-				queue.Move(held[random.IntN(len(held))], due)
+			if len(queued) > 0 {
+				queue.Move(queued[random.IntN(len(queued))], due)
 			}
 		case 3:
-			if len(held) > 0 {
-				i := random.IntN(len(held))
-				queue.Remove(held[i])
-				queue.Remove(held[i]) // it is out already
-				queue.Move(held[i], due)
-				held = slices.Delete(held, i, i+1)
+			if len(queued) > 0 {
+				i := random.IntN(len(queued))
+				queue.Remove(queued[i])
+				queue.Remove(queued[i]) // it is removed already
+				queue.Move(queued[i], due)
+				queued = slices.Delete(queued, i, i+1)
 			}
 		case 4:
 			taken := queue.TakeDue(due)
-			first := slices.MinFunc(append(held, NewTimer(due+1, -1)), func(a, b *Timer[int]) int { return int(a.Due() - b.Due()) })
+			first := slices.MinFunc(append(queued, NewTimer(due+1, -1)), func(a, b *Timer[int]) int { return int(a.Due() - b.Due()) })
 			if taken == nil && first.Due() <= due || taken != nil && taken.Due() != first.Due() {
 				t.Fatalf("step %d: took %v where %v was first", step, taken, first)
 			}
-			held = slices.DeleteFunc(held, func(h *Timer[int]) bool { return h == taken })
+			queued = slices.DeleteFunc(queued, func(h *Timer[int]) bool { return h == taken })
 		}
-		if next, ok := queue.Next(); queue.Len() != len(held) || ok != (len(held) > 0) ||
-			ok && slices.ContainsFunc(held, func(h *Timer[int]) bool { return h.Due() < next }) {
-			t.Fatalf("step %d: %d timers, %d held, next at %d", step, queue.Len(), len(held), next)
+		if next, ok := queue.Next(); queue.Len() != len(queued) || ok != (len(queued) > 0) ||
+			ok && slices.ContainsFunc(queued, func(h *Timer[int]) bool { return h.Due() < next }) {
+			t.Fatalf("step %d: %d timers, %d queued, next at %d", step, queue.Len(), len(queued), next)
 		}
 	}
 }
 
-func TestClockShowsUnixTime(t *testing.T) {
+func TestClockFollowsUnixTime(t *testing.T) {
 	clock := NewClock()
 	before := time.Now()
 	at := clock.At(before.Add(1500 * time.Microsecond))
@@ -62,3 +64,24 @@
 		t.Errorf("now is %d us before", clock.At(before)-now)
 	}
 }
+
+func TestWaitReturnsErrorOfEndedContext(t *testing.T) {
+	ended, end := context.WithCancel(context.Background())
+	end()
+	for name, c := range map[string]struct {
+		ctx  context.Context
+		wait time.Duration
+		want error
+	}{
+		"time passes":            {context.Background(), time.Millisecond, nil},
+		"no time":                {context.Background(), 0, nil},
+		"context ended":          {ended, time.Hour, context.Canceled},
+		"context ended, no time": {ended, 0, context.Canceled},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if err := Wait(c.ctx, c.wait); !errors.Is(err, c.want) {
+				t.Errorf("got %v, want %v", err, c.want)
+			}
+		})
+	}
+}
--- a/internal/timing/wait.go
+++ b/internal/timing/wait.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Wait returns after a time, or at once with the context's error when that ends first.
+// Wait returns nil after a time, or the context's error as soon as that ends.
 func Wait(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
