--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// MembersPath is where the service has the list. Without a query it answers with the whole list at once; with FromQuery
+// MembersPath is where the service has the list. Without a query it answers with the complete list at once; with FromQuery
 // and HoldQuery the call is a watch.
 const (
 	MembersPath = "/catalog/members"
@@ -23,7 +23,7 @@
 // errBusy is returned where the service rejects a call because of its load, or is down.
 var errBusy = errors.New("discovery is busy or down")
 
-// call asks for what has changed since a version, or for the whole list if that is NoVersion.
+// call asks for what has changed since a version, or for the complete list if that is NoVersion.
 func (c *Client) call(ctx context.Context, from int64) (*List, error) {
 	url, timeout := "http://"+c.Address+MembersPath, c.snapshotTimeout
 	if from >= 0 {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// NoVersion stands for a version that is not known: only the whole list helps.
+// NoVersion stands for a version that is not known: only the complete list helps.
 const NoVersion int64 = -1
 
 const maxConnections = 2
@@ -51,7 +51,7 @@
 	policy policy
 
 	version      int64 // of the list as last received, or NoVersion where that is in doubt
-	needSnapshot bool  // the next call asks for the whole list
+	needSnapshot bool  // the next call asks for the complete list
 	requested    bool  // with Poll: the next call needs no request of the balancer
 
 	watchWait       time.Duration // the longest time that a watch may wait for changes
@@ -81,8 +81,8 @@
 	return c
 }
 
-// Run watches the list until the context ends. It begins with the whole list unless it polls and knows a version, and
-// asks for the whole list again after an answer that is invalid or incomplete, as the version is in doubt then. Each
+// Run watches the list until the context ends. It begins with the complete list unless it polls and knows a version, and
+// asks for the complete list again after an answer that is invalid or incomplete, as the version is in doubt then. Each
 // watch follows the previous answer at once: the service counts changes in between as received late.
 func (c *Client) Run(ctx context.Context) {
 	defer c.http.CloseIdleConnections()
@@ -130,8 +130,8 @@
 
 // handleFailure decides what follows a call that returned no list. from is the version that the call asked from.
 //
-// An agent that gives no answer to a watch is asked from the same version at once, since a call for the whole list would
-// time out before the silence ends. With Poll a watch that times out is followed by a call for the whole list at once;
+// An agent that gives no answer to a watch is asked from the same version at once, since a call for the complete list would
+// time out before the silence ends. With Poll a watch that times out is followed by a call for the complete list at once;
 // after any other failure the balancer requests the next call, unless there is no list from this address yet.
 func (c *Client) handleFailure(ctx context.Context, from int64, err error) {
 	c.Log.Warn("discovery", "error", err)
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -33,7 +33,7 @@
 // List is the endpoint list at one version, or what has changed in it up to that version.
 type List struct {
 	Index     int64      `json:"index"`    // the version
-	Snapshot  bool       `json:"snapshot"` // whether it is the whole list
+	Snapshot  bool       `json:"snapshot"` // whether it is complete
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
--- a/internal/discovery/policy.go
+++ b/internal/discovery/policy.go
@@ -4,14 +4,14 @@
 
 // policy holds the times of a Client. A connection to the service can fall silent, which shows only in an overdue answer.
 // The service counts a change as received 6 s after it, or 2 s after the end of the watch's wait if that is later: a watch
-// that falls silent and a call for the whole list have to end before.
+// that falls silent and a call for the complete list have to end before.
 type policy struct {
 	// A watch waits for changes this long at most. Where calls fail it waits longer, to spare the service.
 	minWatchWait, maxWatchWait time.Duration
 	watchWaitSpread            time.Duration // waits are drawn from a range of this length below
 	watchTimeout               time.Duration // beyond the wait
 
-	minSnapshotTimeout, maxSnapshotTimeout time.Duration // of a call for the whole list; it grows after a timeout
+	minSnapshotTimeout, maxSnapshotTimeout time.Duration // of a call for the complete list; it grows after a timeout
 
 	maxBackoff time.Duration
 }
