--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -71,7 +71,7 @@
 		limits = limits.Halved()
 	}
 	_, backends := limits.Connections()
-	p.front.clients.limit(limits.ClientConnections())
+	p.front.clients.SetMaxConnections(limits.ClientConnections())
 	p.loop.pool.limit(backends)
 	p.front.budget.SetLimit(limits.MemoryMB)
 	p.limitRuntimeMemory(limits.MemoryMB)
