--- a/internal/emulator/registry/listen_test.go
+++ b/internal/emulator/registry/listen_test.go
@@ -69,7 +69,7 @@
 				t.Fatal(err)
 			}
 			updates, requests := make(chan discovery.Update), make(chan struct{}, 1)
-			client := discovery.NewClient(discovery.Options{Address: address, Known: discovery.NoVersion, Ask: poll,
+			client := discovery.NewClient(discovery.Options{Address: address, Known: discovery.NoVersion, Poll: poll,
 				Updates: updates, Requests: requests, Log: slog.New(slog.DiscardHandler), Random: rand.New(rand.NewPCG(3, 4))})
 			ctx, cancel := context.WithCancel(t.Context())
 			var running sync.WaitGroup
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -90,7 +90,7 @@
 		},
 		"endpoint in another group": func(p *Pool, a *testAttempt) {
 			e := endpointUpdate("a", a.Target.address, discovery.Serving)
-			e.Group = 7
+			e.Cell = 7
 			p.ApplyEndpoints(false, []discovery.Endpoint{e})
 		},
 		"attempt cancelled": func(_ *Pool, a *testAttempt) { a.cancel() },
