--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -68,10 +68,13 @@
 	return s, nil
 }
 
-// ClassIndex returns the index of a class in Balancer.Classes.
-func (s *Snapshot) ClassIndex(name string) (index int, ok bool) {
+// Class returns a class of Balancer.Classes and its index there.
+func (s *Snapshot) Class(name string) (class balancer.Class, index int, ok bool) {
 	index, ok = s.classes[name]
-	return index, ok
+	if !ok {
+		return balancer.Class{}, 0, false
+	}
+	return s.Balancer.Classes[index], index, true
 }
 
 // TenantIndex returns the index of a tenant in Balancer.Tenants, or NoTenant.
--- a/internal/config/snapshot_test.go
+++ b/internal/config/snapshot_test.go
@@ -61,10 +61,10 @@
 
 func TestSnapshotFindsClassesAndTenantsByName(t *testing.T) {
 	s := takeSnapshot(t, decodeSite(t), discovery.NewZones(nil), nil)
-	if i, ok := s.ClassIndex("post"); !ok || i != 1 {
+	if class, i, ok := s.Class("post"); !ok || i != 1 || class.Idempotency != balancer.NotIdempotent {
 		t.Errorf("post is %d, %v", i, ok)
 	}
-	if _, ok := s.ClassIndex("none"); ok {
+	if _, _, ok := s.Class("none"); ok {
 		t.Error("an unknown class has an index")
 	}
 	if a, b := s.TenantIndex("acme"), s.TenantIndex("none"); a != 0 || b != NoTenant {
--- /dev/null
+++ b/internal/downstream/respond.go
@@ -0,0 +1,86 @@
+package downstream
+
+import (
+	"errors"
+	"net/http"
+	"strconv"
+	"time"
+
+	"baylock/balancer"
+	"baylock/internal/message"
+)
+
+const microsecondsPerSecond = 1e6
+
+// rejectInvalid writes the response to a request that parse has rejected.
+func (s *Server) rejectInvalid(w http.ResponseWriter, err error) {
+	invalid, ok := errors.AsType[*requestError](err)
+	if !ok {
+		invalid = badRequest(err.Error())
+	}
+	if invalid.allowedMethod != "" {
+		w.Header().Set("Allow", invalid.allowedMethod)
+	}
+	// net/http reads the rest of the body before it closes the connection; that may never arrive.
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(message.DiscardPatience))
+	s.writeBuffered(w, Response{Status: invalid.status, ContentType: "text/plain", Body: []byte(invalid.reason + "\n")})
+}
+
+// respond writes a response. upload is the request's stream, or nil.
+func (s *Server) respond(w http.ResponseWriter, r *http.Request, upload *message.RequestStream, response Response) {
+	if response.Status == 0 {
+		panic(http.ErrAbortHandler) // a return would answer 200
+	}
+	if upload != nil && !upload.Ended() {
+		w.Header().Set("Connection", "close")
+	}
+	if response.Stream != nil {
+		s.writeStream(w, r, response)
+	} else {
+		s.writeBuffered(w, response)
+	}
+	if upload != nil {
+		upload.Discard()
+	}
+}
+
+func (s *Server) writeBuffered(w http.ResponseWriter, response Response) {
+	// What follows an invalid request may not be another one.
+	invalid := response.Status >= 400 && response.Status < 500
+	s.setHeader(w.Header(), response.ContentType, int64(len(response.Body)), invalid)
+	if response.Status == http.StatusServiceUnavailable && response.RetryAfter > 0 {
+		w.Header().Set("Retry-After", formatSeconds(response.RetryAfter))
+	}
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
+	w.WriteHeader(response.Status)
+	_, _ = w.Write(response.Body) // a client that has gone is no error
+}
+
+// writeStream writes a response as it arrives. One that breaks off ends the connection, so that the client notices.
+func (s *Server) writeStream(w http.ResponseWriter, r *http.Request, response Response) {
+	stream, err := response.Stream, http.ErrAbortHandler
+	defer func() { stream.Done <- err }()
+	s.setHeader(w.Header(), response.ContentType, stream.Length, false)
+	if err = stream.Deliver(r.Context(), w); err != nil {
+		s.log.Warn("answer not finished", "id", r.Header.Get(idHeader), "error", err)
+		panic(http.ErrAbortHandler)
+	}
+}
+
+// setHeader sets the headers of all responses. length is the body's in bytes, -1 if it is not known.
+func (s *Server) setHeader(header http.Header, contentType string, length int64, closeConnection bool) {
+	if closeConnection || s.closeAfterResponse.Load() {
+		header.Set("Connection", "close")
+	}
+	header["Content-Type"] = nil // net/http does not guess one
+	if contentType != "" {
+		header.Set("Content-Type", contentType)
+	}
+	if length >= 0 {
+		header.Set("Content-Length", strconv.FormatInt(length, 10))
+	}
+}
+
+func formatSeconds(duration balancer.Microseconds) string {
+	return strconv.FormatFloat(float64(duration)/microsecondsPerSecond, 'f', 3, 64)
+}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -9,25 +9,25 @@
 	"baylock/internal/upstream"
 )
 
-// attempt is an upstream attempt of a request in flight. The loop owns it, but for the methods of upstream.Observer.
+// attempt is an upstream attempt of a request. The loop owns it, but for the methods of upstream.Observer.
 type attempt struct {
 	*upstream.Attempt
-	loop            *loop
+	loop            *eventLoop
 	request         *request
 	number          int                   // counts the request's attempts from 0
 	sentAt          balancer.Microseconds // when the balancer decided, or when the last byte of a streamed request was written
 	responseTimeout time.Duration         // for the response to a streamed request, from its last byte
-	cancel          context.CancelFunc
-	forwarding      bool // the response is being forwarded
+	cancel          context.CancelFunc    // set while the attempt is in flight
+	forwarding      bool                  // the response is being forwarded
 }
 
 // UploadFinished implements upstream.Observer.
 func (a *attempt) UploadFinished(at time.Time) (deadline time.Time) {
-	a.loop.post(func() { a.loop.uploaded(a, at) })
+	a.loop.post(uploadFinished{a, at})
 	return at.Add(a.responseTimeout)
 }
 
 // ResponseStarted implements upstream.Observer.
 func (a *attempt) ResponseStarted(response *message.ResponseStream) {
-	a.loop.post(func() { a.loop.begin(a, response) })
+	a.loop.post(responseStarted{a, response})
 }
--- a/internal/proxy/body_test.go
+++ b/internal/proxy/body_test.go
@@ -105,7 +105,7 @@
 			}
 		}
 	}
-	waitUntil(t, func() bool { return p.front.budget.InUse() == 0 })
+	waitUntil(t, func() bool { return p.limits.budget.InUse() == 0 })
 }
 
 // 32 MB pass, one byte more does not.
@@ -268,8 +268,8 @@
 		case <-time.After(20 * time.Millisecond):
 			runtime.ReadMemStats(&now)
 			most.Store(max(most.Load(), now.HeapInuse))
-			if n := p.front.budget.InUse(); n > p.front.budget.Limit() {
-				t.Fatalf("%d bytes are held of at most %d", n, p.front.budget.Limit())
+			if n := p.limits.budget.InUse(); n > p.limits.budget.Limit() {
+				t.Fatalf("%d bytes are held of at most %d", n, p.limits.budget.Limit())
 			}
 		}
 	}
@@ -280,14 +280,14 @@
 	if grown := int64(most.Load()) - int64(before.HeapInuse); grown > (32<<20)+many*(256<<10) {
 		t.Errorf("%d MB more memory in use", grown>>20)
 	}
-	waitUntil(t, func() bool { return p.front.budget.InUse() == 0 })
+	waitUntil(t, func() bool { return p.limits.budget.InUse() == 0 })
 }
 
 // Without room a body is not held but passed on, and none waits.
 func TestAFullBudgetHoldsNothing(t *testing.T) {
 	p := withBackend(t, startReader(t, echo))
-	all := p.front.budget.Reserve()
-	if !all.Grow(p.front.budget.Limit()) {
+	all := p.limits.budget.Reserve()
+	if !all.Grow(p.limits.budget.Limit()) {
 		t.Fatal("no budget")
 	}
 	c := connect(t, p)
@@ -296,7 +296,7 @@
 		t.Errorf("got %s with %d bytes", resp.Status, len(body))
 	}
 	all.Release()
-	if all.Grow(1) || p.front.budget.InUse() != 0 {
+	if all.Grow(1) || p.limits.budget.InUse() != 0 {
 		t.Error("a lease goes on after its end")
 	}
 }
@@ -306,10 +306,10 @@
 	t.Helper()
 	waitUntil(t, func() bool {
 		left := make(chan int, 1)
-		p.loop.post(func() { left <- len(p.loop.reqs) + p.loop.timers.Len() })
+		p.onLoop(func() { left <- len(p.loop.requests) + p.loop.timers.Len() })
 		n := wait(t, "word of the loop", left)
 		pool := p.loop.pool.Stats()
-		return n == 0 && pool.Open == pool.Idle && p.front.budget.InUse() == 0
+		return n == 0 && pool.Open == pool.Idle && p.limits.budget.InUse() == 0
 	})
 }
 
@@ -435,7 +435,7 @@
 		t.Fatal(err)
 	}
 	p.stop()
-	time.AfterFunc(killAfter+killLeeway+200*time.Millisecond, func() { close(release) })
+	time.AfterFunc(killDelay+killLeeway+200*time.Millisecond, func() { close(release) })
 	if body, err := io.ReadAll(resp.Body); err != nil || string(body) != text(200_000) {
 		t.Errorf("got %d bytes, %v", len(body), err)
 	}
@@ -453,7 +453,7 @@
 	var r *request
 	waitUntil(t, func() bool {
 		got := make(chan *request, 1)
-		p.loop.post(func() { got <- p.loop.reqs["1"] })
+		p.onLoop(func() { got <- p.loop.requests["1"] })
 		r = wait(t, "word of the loop", got)
 		return r != nil
 	})
@@ -465,7 +465,7 @@
 	if resp, body := c.answer(t); resp.StatusCode != 200 || body != text(100_000) {
 		t.Errorf("got %s with %d bytes", resp.Status, len(body))
 	}
-	p.loop.post(func() { took <- r.Deadline })
+	p.onLoop(func() { took <- r.Deadline })
 	if left := time.Until(p.loop.clock.Time(wait(t, "word of the loop", took))); left < 3700*time.Millisecond {
 		t.Errorf("%v were left of 4 s", left)
 	}
--- a/internal/proxy/console.go
+++ b/internal/proxy/console.go
@@ -77,7 +77,7 @@
 		IdleTimeout:       adminHeadTimeout,
 		WriteTimeout:      adminWriteTimeout,
 		MaxHeaderBytes:    adminMaxHeadBytes,
-		ErrorLog:          quietLog(log),
+		ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		ConnContext:       clientconn.ConnContext,
 		// readCall marks a connection as active when its call is complete: one that waits for a body can be evicted.
 		ConnState: func(connection net.Conn, state http.ConnState) {
--- a/internal/proxy/console_test.go
+++ b/internal/proxy/console_test.go
@@ -11,6 +11,7 @@
 
 	"baylock/internal/config"
 	"baylock/internal/discovery"
+	"baylock/internal/downstream"
 	"baylock/internal/settings"
 )
 
@@ -179,7 +180,7 @@
 func TestConsoleCallFailsWhileLoopIsBlocked(t *testing.T) {
 	p, _, _ := operated(t)
 	release := make(chan struct{})
-	p.loop.post(func() { <-release })
+	p.onLoop(func() { <-release })
 	start := time.Now()
 	if got := operate(t, p, "POST /_backends/detach", "a"); got != 503 {
 		t.Errorf("with the loop held: got %d", got)
@@ -266,7 +267,7 @@
 	if resp, _ := held.answer(t); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("the open request: got %s, close %v", resp.Status, resp.Close)
 	}
-	waitUntil(t, func() bool { return p.front.clients.Stats().Open == 0 })
+	waitUntil(t, func() bool { return p.clients.Stats().Open == 0 })
 	operate(t, p, "POST /_lameduck/off", "")
 	if ok := p.asks(t, 3); ok != 3 || p.health(t) != 200 {
 		t.Errorf("after off: %d of 3 served", ok)
@@ -290,7 +291,7 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	operate(t, p, "POST /_lameduck/on", "")
-	time.Sleep(duckAfter + acceptAfter + 200*time.Millisecond)
+	time.Sleep(downstream.LameDuckDelay + downstream.NewConnectionsPossible + 200*time.Millisecond)
 	for i, c := range []*client{kept, fresh} {
 		c.send(t, strings.Replace(head, "Request-Id: 1", fmt.Sprint("Request-Id: s", i), 1)[20:])
 		if resp, _ := c.answer(t); resp.StatusCode != 200 || !resp.Close {
--- a/internal/proxy/crowd_test.go
+++ b/internal/proxy/crowd_test.go
@@ -27,7 +27,7 @@
 	defer d.Close()
 	p := startWithConsole(t, t.TempDir(), "127.0.0.1:0", strings.TrimPrefix(d.URL, "http://"),
 		listed("a", a.addr, discovery.Serving), listed("b", b.addr, discovery.Serving))
-	most := p.front.clients.Stats().Max
+	most := p.clients.Stats().Max
 	for i := range 2 * most {
 		switch c := connect(t, p); i % 3 {
 		case 0: // silent
@@ -55,7 +55,7 @@
 	if ok := p.asks(t, 20); ok != 20 || a.requests.Load() != before {
 		t.Errorf("after discovery's return %d of 20 served, %d by a backend that drains", ok, a.requests.Load()-before)
 	}
-	if n := p.front.clients.Stats().Open; n > most {
+	if n := p.clients.Stats().Open; n > most {
 		t.Errorf("%d connections of at most %d", n, most)
 	}
 }
@@ -68,8 +68,8 @@
 		c.send(t, look(time.Now().String(), 4000))
 		c.answer(t)
 	}
-	p.setAlone(false)
-	if n, most := p.front.clients.Stats().Open, p.front.clients.Stats().Max; n > most {
+	p.limits.setAlone(false)
+	if n, most := p.clients.Stats().Open, p.clients.Stats().Max; n > most {
 		t.Errorf("%d connections of at most %d", n, most)
 	}
 }
--- a/internal/proxy/ending_test.go
+++ b/internal/proxy/ending_test.go
@@ -14,7 +14,7 @@
 // one is the one connection of a client that the proxy has.
 func (p *running) one(t *testing.T) *clientconn.Conn {
 	t.Helper()
-	connections := p.front.clients.Connections()
+	connections := p.clients.Connections()
 	if len(connections) != 1 {
 		t.Fatalf("%d connections of clients", len(connections))
 	}
@@ -29,11 +29,10 @@
 	c, half := connect(t, p), connect(t, p)
 	half.send(t, look("1", 8000)[:30])
 	c.send(t, look("h", 8000))
-	waitUntil(t, func() bool { return b.requests.Load() == 1 && p.front.clients.Stats().Open == 2 })
-	p.front.closing.Store(true)
+	waitUntil(t, func() bool { return b.requests.Load() == 1 && p.clients.Stats().Open == 2 })
 	ended := make(chan struct{})
-	go func() { defer close(ended); p.front.shutdown(time.Now()) }()
-	wait(t, "end of accepting", p.front.served)
+	go func() { defer close(ended); p.server.Shutdown(time.Now()) }()
+	wait(t, "end of accepting", p.server.ServeDone())
 	close(release)
 	if resp, body := c.answer(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
 		t.Errorf("got %s, close %v", resp.Status, resp.Close)
@@ -55,8 +54,8 @@
 	waitUntil(t, conn.RequestStarted)
 	close(release)
 	c.answer(t)
-	waitUntil(t, func() bool { return p.front.clients.Stats().Idle == 1 })
-	if others, taken := p.front.clients.CloseIdle(0, 0); others != 1 || taken != 0 {
+	waitUntil(t, func() bool { return p.clients.Stats().Idle == 1 })
+	if others, taken := p.clients.CloseIdle(0, 0); others != 1 || taken != 0 {
 		t.Errorf("%d others, %d taken", others, taken)
 	}
 	c.send(t, look("2", 8000)[1:])
@@ -116,14 +115,14 @@
 	b := startBackend(t, says(served, true))
 	read, proceed := make(chan struct{}), make(chan struct{})
 	p := startSite(t, func(p *Proxy) {
-		p.front.clients.Listener = gatedListener{Listener: p.front.clients.Listener, gate: func(c net.Conn) net.Conn {
+		p.clients.Listener = gatedListener{Listener: p.clients.Listener, gate: func(c net.Conn) net.Conn {
 			return gatedConn{c.(*net.TCPConn), func() { close(read); <-proceed }}
 		}}
 	}, listText(1, true, listed("a", b.addr, discovery.Serving)))
 	c := connect(t, p)
 	c.send(t, shortPost("1"))
 	wait(t, "read", read)
-	if others, _ := p.front.clients.CloseIdle(0, 0); others != 0 {
+	if others, _ := p.clients.CloseIdle(0, 0); others != 0 {
 		t.Errorf("%d connections were left open", others)
 	}
 	close(proceed)
@@ -139,15 +138,14 @@
 	accepted, proceed := make(chan struct{}, 2), make(chan struct{})
 	seen := make(chan string, 1000)
 	p := startSite(t, func(p *Proxy) {
-		p.front.clients.Listener = gatedListener{Listener: p.front.clients.Listener,
+		p.clients.Listener = gatedListener{Listener: p.clients.Listener,
 			gate:   func(c net.Conn) net.Conn { accepted <- struct{}{}; <-proceed; return c },
 			looked: func() { seen <- "look" }, closed: func() { seen <- "close" }}
 	}, listText(1, true, listed("a", b.addr, discovery.Serving)))
 	first := connect(t, p)
 	wait(t, "accept", accepted)
 	second := connect(t, p) // in the queue
-	p.front.closing.Store(true)
-	go p.front.shutdown(time.Now().Add(patience))
+	go p.server.Shutdown(time.Now().Add(patience))
 	wait(t, "look at the queue or close", seen)
 	close(proceed)
 	for i, c := range []*client{first, second} {
@@ -184,15 +182,15 @@
 	release, fail := make(chan struct{}), make(chan struct{})
 	b := startBackend(t, holds(release))
 	p := startSite(t, func(p *Proxy) {
-		p.front.clients.Listener = brokenListener{p.front.clients.Listener, fail}
+		p.clients.Listener = brokenListener{p.clients.Listener, fail}
 	}, listText(1, true, listed("a", b.addr, discovery.Serving)))
 	c := connect(t, p)
 	c.send(t, look("h", 8000))
 	waitUntil(t, func() bool { return b.requests.Load() == 1 })
 	close(fail)
 	connect(t, p)
-	wait(t, "end of accepting", p.front.served)
-	waitUntil(t, func() bool { return p.front.draining.Load() || len(p.done) > 0 })
+	wait(t, "end of accepting", p.server.ServeDone())
+	waitUntil(t, func() bool { return p.server.State().Draining || len(p.done) > 0 })
 	close(release)
 	if resp, body := c.answer(t); resp.StatusCode != 200 || body != "ok" {
 		t.Errorf("got %s", resp.Status)
--- a/internal/proxy/leaving_test.go
+++ b/internal/proxy/leaving_test.go
@@ -76,7 +76,7 @@
 	t.Helper()
 	waitUntil(t, func() bool {
 		here := 0
-		for _, c := range p.front.clients.Connections() {
+		for _, c := range p.clients.Connections() {
 			if !c.ClientGone() {
 				here++
 			}
@@ -94,7 +94,7 @@
 			b := startBackend(t, says(served, true))
 			left, accepted := make(chan struct{}), make(chan struct{})
 			p := startSite(t, func(p *Proxy) {
-				p.front.clients.Listener = gatedListener{Listener: p.front.clients.Listener, gate: func(c net.Conn) net.Conn {
+				p.clients.Listener = gatedListener{Listener: p.clients.Listener, gate: func(c net.Conn) net.Conn {
 					<-left
 					for !socket.PeerClosed(c) {
 						time.Sleep(time.Millisecond)
@@ -183,14 +183,14 @@
 // knows tells whether the loop has a request.
 func (p *running) knows(id string) bool {
 	got := make(chan bool, 1)
-	p.loop.post(func() { got <- p.loop.reqs[id] != nil })
+	p.onLoop(func() { got <- p.loop.requests[id] != nil })
 	return <-got
 }
 
 // onlySent waits until nothing is left of any request, and tells whether bytes of others than n have reached the backend.
 func onlySent(t *testing.T, p *running, b *fakeBackend, n int32) {
 	t.Helper()
-	waitUntil(t, func() bool { return p.front.clients.Stats().Open == 0 })
+	waitUntil(t, func() bool { return p.clients.Stats().Open == 0 })
 	nothingLeft(t, p)
 	p.loop.pool.ApplyEndpoints(true, nil) // closes what is idle, so that the backend has read all that was sent
 	waitUntil(t, func() bool { return len(b.closed) == int(b.conns.Load()) })
--- a/internal/proxy/operations.go
+++ b/internal/proxy/operations.go
@@ -6,7 +6,6 @@
 	"slices"
 	"time"
 
-	"baylock/balancer"
 	"baylock/internal/operatorstate"
 )
 
@@ -21,48 +20,20 @@
 	errStarting     = errors.New("starting")
 	errNoEndpoints  = errors.New("no list of backends yet")
 	errShuttingDown = errors.New("ending")
-	errLoopEnded    = errors.New("the proxy has ended")
-	errLoopBusy     = errors.New("the proxy is too busy to say")
-	errNotDoneYet   = errors.New("not done yet")
 )
 
-// do has the loop call f and waits until it has.
-func (l *loop) do(ctx context.Context, f func()) error {
-	done := make(chan struct{})
-	select {
-	case l.events <- func() { f(); close(done) }:
-	case <-l.done:
-		return errLoopEnded
-	case <-ctx.Done():
-		return errLoopBusy
-	}
-	select {
-	case <-done:
-		return nil
-	case <-l.done:
-		return errLoopEnded
-	case <-ctx.Done():
-		return errNotDoneYet
-	}
-}
-
 // Ready implements Operations: this process has an endpoint list and open listeners, and doesn't shut down. Lame duck
 // doesn't matter, as no new version could take over from a process that is in it.
 func (p *Proxy) Ready() (settings string, err error) {
-	select {
-	case <-p.opened:
-	default:
+	switch {
+	case !p.isOpen():
 		return "", errStarting
-	}
-	select {
-	case <-p.loop.listed:
-	default:
+	case !p.loop.Ready():
 		return "", errNoEndpoints
-	}
-	if p.front.draining.Load() {
+	case p.server.State().Draining:
 		return "", errShuttingDown
 	}
-	return p.loop.inForce.Load().String(), nil
+	return p.loop.settings.Load().String(), nil
 }
 
 // Detach implements Operations.
@@ -90,11 +61,11 @@
 		if slices.Contains(state.Detached, id) {
 			return nil
 		}
-		listed := false
-		if err := p.loop.do(ctx, func() { listed = p.loop.pool.Contains(id) }); err != nil {
+		query := &backendQueried{backendID: id}
+		if err := p.loop.call(ctx, query); err != nil {
 			return err
 		}
-		if !listed {
+		if !query.listed {
 			return errUnknownBackend
 		}
 		return nil
@@ -105,22 +76,20 @@
 // applyState returns the function that carries out what operators have said.
 func (p *Proxy) applyState(ctx context.Context) func(operatorstate.State) error {
 	return func(state operatorstate.State) error {
-		p.front.lameDuck(state.LameDuck)
-		return p.loop.do(ctx, func() { p.loop.setDetached(state.Detached) })
+		p.server.SetLameDuck(state.LameDuck)
+		return p.loop.call(ctx, detachedChanged{state.Detached})
 	}
 }
 
 // saveLearned saves what the balancer has learned, once this process accepts connections.
 func (p *Proxy) saveLearned(ctx context.Context) {
-	select {
-	case <-p.opened:
-	default:
+	if !p.isOpen() {
 		return
 	}
-	var learned balancer.LearnedState
-	err := p.loop.do(ctx, func() { learned = p.loop.bal.ExportState() })
+	query := &learnedStateQueried{}
+	err := p.loop.call(ctx, query)
 	if err == nil {
-		err = p.operatorState.SaveLearned(learned)
+		err = p.operatorState.SaveLearned(query.learned)
 	}
 	if err != nil && ctx.Err() == nil {
 		p.log.Error("learned state is not saved", "error", err)
@@ -134,14 +103,14 @@
 	defer ticker.Stop()
 	alone := true
 	for syncs := 0; ; syncs++ {
-		if syncs%saveLearnedEvery == 0 && !p.front.draining.Load() {
+		if syncs%saveLearnedEvery == 0 && !p.server.State().Draining {
 			p.saveLearned(ctx)
 		}
 		if now := p.operatorState.Alone(); now != alone {
 			alone = now
-			p.setAlone(alone)
+			p.limits.setAlone(alone)
 		}
-		p.front.succeeded.Store(p.operatorState.AcceptingPeers() > 0)
+		p.server.SetTakenOver(p.operatorState.AcceptingPeers() > 0)
 		if err := p.operatorState.Sync(p.applyState(ctx)); err != nil && ctx.Err() == nil {
 			p.log.Error("shared state", "error", err)
 		}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -21,6 +21,7 @@
 	"baylock/internal/clientconn"
 	"baylock/internal/config"
 	"baylock/internal/discovery"
+	"baylock/internal/downstream"
 	"baylock/internal/message"
 	"baylock/internal/microtime"
 	"baylock/internal/settings"
@@ -274,7 +275,7 @@
 		})
 	}
 	all.Wait()
-	waitUntil(t, func() bool { return p.front.clients.Stats().Open == 0 })
+	waitUntil(t, func() bool { return p.clients.Stats().Open == 0 })
 	if n := b.requests.Load(); n != 0 {
 		t.Errorf("%d requests went on", n)
 	}
@@ -283,7 +284,7 @@
 // The deadline of the body ends with it; kept, it ended requests that were still in work.
 func TestASlowAnswerOutlivesTheDeadlineOfTheBody(t *testing.T) {
 	p, _ := serving(t, func(w io.Writer, _ *http.Request, _ int) bool {
-		time.Sleep(firstPatience + 200*time.Millisecond)
+		time.Sleep(downstream.FirstRequestTimeout + 200*time.Millisecond)
 		_, _ = io.WriteString(w, served)
 		return true
 	})
@@ -365,7 +366,7 @@
 	wait(t, "end of the attempt", gone)
 	waitUntil(t, func() bool { // nothing is left of it
 		left := make(chan int, 1)
-		p.loop.post(func() { left <- len(p.loop.reqs) })
+		p.onLoop(func() { left <- len(p.loop.requests) })
 		return wait(t, "word of the loop", left) == 0
 	})
 }
@@ -374,9 +375,9 @@
 	p, b := serving(t, says(served, true))
 	c := connect(t, p)
 	c.send(t, post("3", "Content-Length: 9")+"abc")
-	waitUntil(t, func() bool { return p.front.clients.Stats().Open == 1 })
+	waitUntil(t, func() bool { return p.clients.Stats().Open == 1 })
 	c.Close()
-	waitUntil(t, func() bool { return p.front.clients.Stats().Open == 0 })
+	waitUntil(t, func() bool { return p.clients.Stats().Open == 0 })
 	if n := b.requests.Load(); n != 0 {
 		t.Errorf("%d requests went on", n)
 	}
@@ -399,7 +400,7 @@
 	t.Helper()
 	b := startBackend(t, reply)
 	p = startProxy(t, startDiscovery(t).addr, 80, listText(1, true, listed("a", b.addr, discovery.Serving)))
-	return p, p.front.clients.Stats().Max
+	return p, p.clients.Stats().Max
 }
 
 // Clients that ask once and keep their connection, and such that never ask, filled the proxy for good; the
@@ -419,7 +420,7 @@
 		if resp, body := c.answer(t); resp.StatusCode != 200 || body != "ok" {
 			t.Fatalf("newcomer %d: got %s", i, resp.Status)
 		}
-		if n := p.front.clients.Stats().Open; n > most {
+		if n := p.clients.Stats().Open; n > most {
 			t.Fatalf("%d connections of at most %d", n, most)
 		}
 	}
@@ -440,7 +441,7 @@
 		asking = append(asking, c)
 	}
 	waitUntil(t, func() bool {
-		stats := p.front.clients.Stats()
+		stats := p.clients.Stats()
 		return stats.Open == most && stats.Unused == 0
 	})
 	over := connect(t, p)
@@ -735,7 +736,7 @@
 		}
 	}
 	rename := func(addr string) error {
-		cfg := p.cfg
+		cfg := p.config
 		cfg.Discovery = addr
 		return p.Reload(cfg)
 	}
@@ -806,7 +807,7 @@
 	waitUntil(t, func() bool { return b.requests.Load() == 11 })
 	unused := connect(t, p)
 	p.stop()
-	waitUntil(t, func() bool { return p.front.draining.Load() })
+	waitUntil(t, func() bool { return p.server.State().Draining })
 	for i, c := range []*client{idle, connect(t, p)} {
 		for n := range 5 {
 			c.send(t, look(fmt.Sprint("n", i, n), 8000))
@@ -815,7 +816,7 @@
 			}
 		}
 	}
-	waitUntil(t, func() bool { return p.front.closing.Load() })
+	waitUntil(t, func() bool { return p.server.State().CloseAfterResponse })
 	close(release)
 	var all sync.WaitGroup
 	for _, c := range held {
@@ -846,9 +847,9 @@
 		all[i].send(t, look(fmt.Sprint(i), 8000))
 		all[i].answer(t)
 	}
-	waitUntil(t, func() bool { return p.front.clients.Stats().Idle == len(all) })
+	waitUntil(t, func() bool { return p.clients.Stats().Idle == len(all) })
 	p.stop()
-	waitUntil(t, func() bool { return p.front.bound.Load() })
+	waitUntil(t, func() bool { return p.server.State().NewConnectionsEnded })
 	for i, c := range all[:5] {
 		c.send(t, look(fmt.Sprint("h", i), 8000))
 	}
@@ -886,7 +887,7 @@
 	if err := wait(t, "end of Run", p.done); err != nil {
 		t.Error(err)
 	}
-	if took := time.Since(start); took > killAfter+5*time.Second {
+	if took := time.Since(start); took > killDelay+5*time.Second {
 		t.Errorf("ended %v after SIGTERM", took)
 	}
 }
@@ -908,14 +909,14 @@
 	all.Wait()
 	type sizes struct{ reqs, timers, backends, zones int }
 	got := make(chan sizes, 1)
-	p.loop.post(func() {
+	p.onLoop(func() {
 		for i := range 5000 {
 			e := discovery.Endpoint{Name: fmt.Sprint("s", i), Address: "127.0.0.1:1", Zone: fmt.Sprint("z", i), Status: discovery.Serving}
-			p.loop.list(discovery.Update{List: &discovery.List{Index: int64(i), Endpoints: []discovery.Endpoint{e}}})
+			p.loop.applyUpdate(discovery.Update{List: &discovery.List{Index: int64(i), Endpoints: []discovery.Endpoint{e}}})
 			e.Status = discovery.Deleted
-			p.loop.list(discovery.Update{List: &discovery.List{Index: int64(i), Endpoints: []discovery.Endpoint{e}}})
+			p.loop.applyUpdate(discovery.Update{List: &discovery.List{Index: int64(i), Endpoints: []discovery.Endpoint{e}}})
 		}
-		got <- sizes{len(p.loop.reqs), p.loop.timers.Len(), p.loop.pool.Stats().Endpoints, len(p.loop.zones)}
+		got <- sizes{len(p.loop.requests), p.loop.timers.Len(), p.loop.pool.Stats().Endpoints, len(p.loop.zones)}
 	})
 	if s := wait(t, "word of the loop", got); s != (sizes{backends: 1, zones: 1}) {
 		t.Errorf("left behind: %+v", s)
@@ -936,9 +937,9 @@
 	var got times
 	waitUntil(t, func() bool {
 		words := make(chan times, 1)
-		p.loop.post(func() {
-			soon, late := p.loop.reqs["0"], p.loop.reqs["1"]
-			words <- times{soon.time.Due(), soon.Deadline + microtime.FromDuration(expireAfter), late.time.Due(), p.loop.cutoff}
+		p.onLoop(func() {
+			soon, late := p.loop.requests["0"], p.loop.requests["1"]
+			words <- times{soon.expiry.Due(), soon.Deadline + microtime.FromDuration(expiryLeeway), late.expiry.Due(), p.loop.cutoff}
 		})
 		got = wait(t, "word of the loop", words)
 		return got.cutoff > 0
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := p.cfg
+	cfg := p.config
 	cfg.Site, cfg.Version = site, version
 	return cfg
 }
@@ -146,7 +146,7 @@
 	}
 	close(over)
 	all.Wait()
-	if n := p.front.clients.Stats().Open; n != clients {
+	if n := p.clients.Stats().Open; n != clients {
 		t.Errorf("%d connections of %d clients", n, clients)
 	}
 	if n := len(b.closed); n > 0 {
@@ -164,7 +164,7 @@
 func TestRejectedReloadChangesNothing(t *testing.T) {
 	p, _, _ := operated(t)
 	p.mustReload(t, changed(t, p, "first"))
-	before, most := p.loop.inForce.Load(), p.most()
+	before, most := p.loop.settings.Load(), p.most()
 	for want, spoil := range map[string]func(*config.Config){
 		"name":              func(c *config.Config) { c.Name = "other" },
 		"listen":            func(c *config.Config) { c.Listen = "127.0.0.1:1" },
@@ -186,7 +186,7 @@
 			if err := p.Reload(cfg); err == nil || !strings.Contains(err.Error(), want) {
 				t.Errorf("got %v", err)
 			}
-			if p.loop.inForce.Load() != before || p.most() != most {
+			if p.loop.settings.Load() != before || p.most() != most {
 				t.Error("it was applied in part")
 			}
 		})
@@ -254,7 +254,7 @@
 			p, b := serving(t, says(served, true))
 			ids := make(chan balancer.Request, 1)
 			release := make(chan struct{})
-			p.loop.post(func() { <-release })
+			p.onLoop(func() { <-release })
 			waitUntil(t, func() bool { return len(p.loop.events) == 0 }) // the loop is held
 			reloaded := make(chan error, 1)
 			cfg := changed(t, p, "", c.old, c.reload)
@@ -263,9 +263,9 @@
 			cl := connect(t, p)
 			cl.send(t, look("1", 4000))
 			waitUntil(t, func() bool { return len(p.loop.events) == 2 })
-			p.loop.post(func() {
-				for _, r := range p.loop.reqs {
-					ids <- r.Request
+			p.onLoop(func() {
+				for _, r := range p.loop.requests {
+					ids <- r.Request.Request
 				}
 				close(ids)
 			})
@@ -277,7 +277,7 @@
 			if sent := b.requests.Load(); resp.StatusCode != c.want || (sent > 0) != (c.want == 200) {
 				t.Errorf("got %s after %d sends", resp.Status, sent)
 			}
-			site := p.loop.inForce.Load().Site
+			site := p.loop.settings.Load().Site
 			if r, ok := <-ids; ok && site.Classes[r.Class] != "look" {
 				t.Errorf("taken as class %q", site.Classes[r.Class])
 			} else if ok && r.Tenant != config.NoTenant && site.Tenants[r.Tenant] != "acme" {
@@ -301,7 +301,7 @@
 		return body
 	}
 	p.mustReload(t, changed(t, p, "0123456789ab"))
-	at := p.loop.inForce.Load().TakenAt.UTC().Format("2006-01-02T15:04:05.000Z")
+	at := p.loop.settings.Load().TakenAt.UTC().Format("2006-01-02T15:04:05.000Z")
 	if got := ask(); got != "ok settings=0123456789ab taken="+at+"\n" {
 		t.Errorf("got %q", got)
 	}
@@ -320,12 +320,12 @@
 func TestSnapshotKeepsLongestDeadlineOfOpenRequests(t *testing.T) {
 	p, _ := serving(t, says(served, true))
 	const before, after = 8 * time.Second, 90 * time.Millisecond
-	first := p.loop.inForce.Load().TakenAt
+	first := p.loop.settings.Load().TakenAt
 	short := []string{"8000000", "90000", "4000000", "80000", "1000000,", "80000,"}
 	p.mustReload(t, changed(t, p, "", short...))
-	second := p.loop.inForce.Load().TakenAt
+	second := p.loop.settings.Load().TakenAt
 	p.mustReload(t, changed(t, p, "again", short...))
-	in := p.loop.inForce.Load()
+	in := p.loop.settings.Load()
 	for _, c := range []struct {
 		at   time.Time
 		want time.Duration
@@ -348,8 +348,8 @@
 	p.mustReload(t, cfg)
 	forClients, forBackends := cfg.Limits.Connections()
 	pool := p.loop.pool.Stats()
-	if p.most() != forClients || pool.MaxOpen != forBackends || p.front.budget.Limit() != 100<<20/8 {
-		t.Errorf("%d for clients, %d for backends, %d bytes for bodies", p.most(), pool.MaxOpen, p.front.budget.Limit())
+	if p.most() != forClients || pool.MaxOpen != forBackends || p.limits.budget.Limit() != 100<<20/8 {
+		t.Errorf("%d for clients, %d for backends, %d bytes for bodies", p.most(), pool.MaxOpen, p.limits.budget.Limit())
 	}
 	t.Cleanup(func() { // the runtime's limit holds for all tests
 		cfg.Limits.MemoryMB = 0
--- /dev/null
+++ b/internal/proxy/run.go
@@ -0,0 +1,84 @@
+package proxy
+
+import (
+	"context"
+	"sync"
+	"time"
+)
+
+const (
+	// SIGKILL follows SIGTERM after the longest deadline or this, whichever is shorter, and killLeeway.
+	killDelay  = 3 * time.Second
+	killLeeway = 500 * time.Millisecond
+
+	servingFraction = 0.7 // of that time new requests are accepted for; the rest is for their responses
+
+	// streamingWindow is how long after SIGTERM a request may be completed and still get a streamed response from a process
+	// that has been taken over: SIGKILL may cut it off, and a cut response to a later request counts as lost.
+	streamingWindow = 600 * time.Millisecond
+)
+
+// Run serves until the context ends, and then until all submitted requests have their responses.
+func (p *Proxy) Run(ctx context.Context) error {
+	defer p.operatorState.Close()
+	tasksContext, stop := context.WithCancel(context.Background())
+	var tasks sync.WaitGroup
+	defer p.server.SetLameDuck(false)
+	defer tasks.Wait()
+	defer stop()
+	p.server.SetLameDuck(p.operatorState.Current().LameDuck)
+	p.log.Info("settings in force", "version", p.loop.settings.Load().Version, "discovery", p.config.Discovery)
+	tasks.Go(func() { p.loop.run(tasksContext) })
+	tasks.Go(func() { p.watchEndpoints(tasksContext) })
+	if p.operatorState.Shared() {
+		tasks.Go(func() { p.syncState(tasksContext) })
+	}
+	if !p.waitForTakeover(ctx) {
+		return nil
+	}
+	if !p.isOpen() {
+		if err := p.open(); err != nil {
+			return err
+		}
+	}
+	if p.console != nil {
+		defer p.console.close()
+		tasks.Go(p.serveConsole)
+	}
+	served := make(chan error, 1)
+	tasks.Go(func() { served <- p.server.Serve() })
+	var failure error
+	select {
+	case failure = <-served: // submitted requests get their responses all the same
+		p.log.Error("no connections are taken any more", "error", failure)
+	case <-ctx.Done():
+	}
+	p.shutDown(time.Now())
+	return failure
+}
+
+func (p *Proxy) serveConsole() {
+	if err := p.console.serve(); err != nil {
+		p.log.Error("no calls are taken any more", "error", err)
+	}
+}
+
+// shutDown ends the service to clients before SIGKILL. begin is when SIGTERM arrived.
+func (p *Proxy) shutDown(begin time.Time) {
+	takenOver := p.operatorState.AcceptingPeers() > 0
+	p.server.SetTakenOver(takenOver)
+	p.server.BeginShutdown()
+	p.operatorState.StopAccepting()
+	window := min(p.loop.settings.Load().LongestDeadline(begin), killDelay) + killLeeway
+	cutoff := begin.Add(window)
+	shutdown := shutdownBegun{cutoff: p.loop.clock.At(cutoff)}
+	if takenOver {
+		shutdown.streamingCutoff = p.loop.clock.At(begin.Add(streamingWindow))
+	}
+	p.loop.post(shutdown)
+	if takenOver {
+		p.server.HandOver(cutoff)
+		return
+	}
+	p.server.Drain(begin.Add(time.Duration(servingFraction*float64(window))), cutoff)
+}
--- a/internal/proxy/takeover_test.go
+++ b/internal/proxy/takeover_test.go
@@ -82,21 +82,21 @@
 	fresh := connect(t, next)
 	fresh.send(t, look("new", 4000))
 	fresh.answer(t)
-	if n := next.front.clients.Stats().Open; n == 0 {
+	if n := next.clients.Stats().Open; n == 0 {
 		t.Error("a new connection went to the old process")
 	}
 	// Operators may call either process.
 	operate(t, next, "POST /_lameduck/on", "")
-	waitUntil(t, func() bool { return old.front.duck.Load() })
+	waitUntil(t, func() bool { return old.server.State().LameDuck })
 	operate(t, old, "POST /_lameduck/off", "")
-	waitUntil(t, func() bool { return !next.front.duck.Load() })
+	waitUntil(t, func() bool { return !next.server.State().LameDuck })
 	operate(t, next, "POST /_backends/detach", "b")
 	waitUntil(t, func() bool { return old.isDetached("b") && old.isDetached("a") && next.isDetached("a") })
 	operate(t, old, "POST /_backends/attach", "b")
 	waitUntil(t, func() bool { return !next.isDetached("b") })
 	old.stop()
-	waitUntil(t, func() bool { return old.front.draining.Load() })
-	if got := old.Proxy.front.healthy(); !got {
+	waitUntil(t, func() bool { return old.server.State().Draining })
+	if got := old.Proxy.server.Healthy(); !got {
 		t.Error("the old process is unhealthy while another serves")
 	}
 	if err := wait(t, "end of the old process", old.done); err != nil {
@@ -116,12 +116,12 @@
 // isDetached tells whether the loop has detached a backend.
 func (p *running) isDetached(id string) bool {
 	got := make(chan bool, 1)
-	p.loop.post(func() { got <- p.loop.detached[id] })
+	p.onLoop(func() { got <- p.loop.detached[id] })
 	return <-got
 }
 
 func (p *running) most() int {
-	return p.front.clients.Stats().Max
+	return p.clients.Stats().Max
 }
 
 // TestMain runs a proxy in a process of its own where TestTakeoverSurvivesKillOfNewProcess starts it so.
@@ -189,18 +189,18 @@
 		t.Fatalf("the new process answered %v, %v", resp, err)
 	}
 	resp.Body.Close()
-	if ok := both.asks(t, 5); ok != 5 || old.front.clients.Stats().Open != 0 {
-		t.Errorf("%d of 5 served, %d connections at the old process", ok, old.front.clients.Stats().Open)
+	if ok := both.asks(t, 5); ok != 5 || old.clients.Stats().Open != 0 {
+		t.Errorf("%d of 5 served, %d connections at the old process", ok, old.clients.Stats().Open)
 	}
-	waitUntil(t, func() bool { return old.front.succeeded.Load() && old.most() < before })
+	waitUntil(t, func() bool { return old.server.State().TakenOver && old.most() < before })
 	_ = next.Process.Kill()
-	waitUntil(t, func() bool { return !old.front.succeeded.Load() && old.most() == before })
+	waitUntil(t, func() bool { return !old.server.State().TakenOver && old.most() == before })
 	if ok := old.asks(t, 20); ok != 20 || a.requests.Load() != 0 {
 		t.Errorf("%d of 20 served, %d to the detached backend", ok, a.requests.Load())
 	}
 	old.stop()
-	waitUntil(t, func() bool { return old.front.draining.Load() })
-	if old.front.healthy() {
+	waitUntil(t, func() bool { return old.server.State().Draining })
+	if old.server.Healthy() {
 		t.Error("it shuts down without a successor, and is healthy")
 	}
 }
@@ -261,12 +261,12 @@
 	old := startWithConsole(t, dir, "127.0.0.1:0", d.addr, entry)
 	learned := func(p *running) balancer.LearnedState {
 		got := make(chan balancer.LearnedState, 1)
-		p.loop.post(func() { got <- p.loop.bal.ExportState() })
+		p.onLoop(func() { got <- p.loop.balancer.ExportState() })
 		return wait(t, "answer of the loop", got)
 	}
 	l := learned(old)
 	l.QuotaMultiplier, l.TierLimit = 0.5, 9
-	old.loop.post(func() { old.loop.bal.ImportState(l) })
+	old.onLoop(func() { old.loop.balancer.ImportState(l) })
 	waitUntil(t, func() bool {
 		got, ok, err := old.operatorState.LoadLearned()
 		return ok && err == nil && got.QuotaMultiplier == 0.5
@@ -305,7 +305,7 @@
 	next := startWithConsole(t, dir, old.Addr(), d.addr, entry)
 	<-next.opened
 	old.stop()
-	waitUntil(t, func() bool { return old.front.draining.Load() })
+	waitUntil(t, func() bool { return old.server.State().Draining })
 	told := time.Now()
 	for i, want := range []int{200, 502} {
 		rest := text(100_000)[70_000:]
@@ -314,7 +314,7 @@
 			if _, err := idle.r.ReadByte(); err != io.EOF || time.Since(told) > time.Second {
 				t.Errorf("the idle connection: %v after %v", err, time.Since(told))
 			}
-			time.Sleep(time.Until(told.Add(takenLate + 200*time.Millisecond)))
+			time.Sleep(time.Until(told.Add(streamingWindow + 200*time.Millisecond)))
 		}
 		uploads[i].send(t, rest[15_000:])
 		if resp, _ := uploads[i].answer(t); resp.StatusCode != want {
