--- a/internal/emulator/hollow/generator.go
+++ b/internal/emulator/hollow/generator.go
@@ -35,7 +35,7 @@
 		random:   rand.New(rand.NewPCG(cfg.Seed, generatorStream)),
 	}
 	for _, tenant := range cfg.Settings.Tenants {
-		g.totalShare += tenant.Share
+		g.totalShare += tenant.QuotaFraction
 	}
 	return g
 }
@@ -61,7 +61,7 @@
 func (g *generator) nextTenant() int {
 	x := g.random.Float64() * g.totalShare
 	for i, tenant := range g.settings.Tenants {
-		if x -= tenant.Share; x < 0 {
+		if x -= tenant.QuotaFraction; x < 0 {
 			return i
 		}
 	}
