--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -62,9 +62,9 @@
 
 // Tenant is a tenant.
 type Tenant struct {
-	Name      string  `json:"name"`
-	Share     float64 `json:"portion"`
-	RateQuota float64 `json:"quota_per_s"`
+	Name          string  `json:"name"`
+	QuotaFraction float64 `json:"portion"`
+	RateQuota     float64 `json:"quota_per_s"`
 }
 
 // The classes and tenants of DefaultSettings.
--- a/internal/settings/wire.go
+++ b/internal/settings/wire.go
@@ -139,7 +139,11 @@
 		settings.Classes = append(settings.Classes, class)
 	}
 	for _, tenant := range w.Tenants {
-		settings.Tenants = append(settings.Tenants, balancer.Tenant(tenant))
+		settings.Tenants = append(settings.Tenants, balancer.Tenant{
+			Name:          tenant.Name,
+			QuotaFraction: tenant.QuotaFraction,
+			RateQuota:     tenant.RateQuota,
+		})
 	}
 	return settings, nil
 }
