--- a/internal/scale/ramp/ramp.go
+++ b/internal/scale/ramp/ramp.go
@@ -16,7 +16,7 @@
 // Experiment is the experiment.
 var Experiment = scale.Experiment{
 	Name:    "ramp",
-	Summary: "calls that cold backends get from all proxies against what they bear, and calls served meanwhile",
+	Summary: "load of cold backends in proportion to what they sustain, and calls served meanwhile",
 	Run:     run,
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -60,27 +60,37 @@
 }
 
 func TestDecodeMapsWords(t *testing.T) {
+	subscribeRequired := func(s balancer.Settings) any { return s.SubscribeRequired }
+	capacityHints := func(s balancer.Settings) any { return s.CapacityHints }
+	perWorkUnit := func(s balancer.Settings) any { return s.PriorityPerWorkUnit }
+	maxRetryAfter := func(s balancer.Settings) any { return s.MaxRetryAfter }
+	idempotency := func(s balancer.Settings) any { return s.Classes[0].Idempotency }
+	dedupScope := func(s balancer.Settings) any { return s.Classes[0].DedupScope }
 	for _, test := range []struct {
 		name     string
 		old, new string
-		holds    func(balancer.Settings) bool
+		field    func(balancer.Settings) any
+		want     any
 	}{
-		{"membership automatic", `"automatic"`, `"automatic"`, func(s balancer.Settings) bool { return !s.SubscribeRequired }},
-		{"membership subscribe", `"automatic"`, `"subscribe"`, func(s balancer.Settings) bool { return s.SubscribeRequired }},
-		{"weights rough", `"rough"`, `"rough"`, func(s balancer.Settings) bool { return s.CapacityHints }},
-		{"weights off", `"rough"`, `"off"`, func(s balancer.Settings) bool { return !s.CapacityHints }},
-		{"weights unset", `"rough"`, `""`, func(s balancer.Settings) bool { return !s.CapacityHints }},
-		{"counted by request", `"ordinal"`, `"counted_by":"request","ordinal"`, func(s balancer.Settings) bool { return !s.PriorityPerWorkUnit }},
-		{"counted by work", `"ordinal"`, `"counted_by":"work","ordinal"`, func(s balancer.Settings) bool { return s.PriorityPerWorkUnit }},
-		{"retry after off", `"retry_after":true`, `"retry_after":false`, func(s balancer.Settings) bool { return s.MaxRetryAfter == 0 }},
-		{"repeat idempotent", `"deduplicated"`, `"idempotent"`, func(s balancer.Settings) bool { return s.Classes[0].Idempotency == balancer.Idempotent }},
-		{"repeat at most once", `"deduplicated"`, `"at_most_once"`, func(s balancer.Settings) bool { return s.Classes[0].Idempotency == balancer.NotIdempotent }},
-		{"scope all", `"cell"`, `"all"`, func(s balancer.Settings) bool { return s.Classes[0].DedupScope == balancer.DedupTier }},
-		{"scope zone", `"cell"`, `"zone"`, func(s balancer.Settings) bool { return s.Classes[0].DedupScope == balancer.DedupZone }},
+		{"membership automatic", `"automatic"`, `"automatic"`, subscribeRequired, false},
+		{"membership subscribe", `"automatic"`, `"subscribe"`, subscribeRequired, true},
+		{"weights rough", `"rough"`, `"rough"`, capacityHints, true},
+		{"weights off", `"rough"`, `"off"`, capacityHints, false},
+		{"weights unset", `"rough"`, `""`, capacityHints, false},
+		{"counted by request", `"ordinal"`, `"counted_by":"request","ordinal"`, perWorkUnit, false},
+		{"counted by work", `"ordinal"`, `"counted_by":"work","ordinal"`, perWorkUnit, true},
+		{"retry after on", `"retry_after":true`, `"retry_after":true`, maxRetryAfter, balancer.Microseconds(750_000)},
+		{"retry after off", `"retry_after":true`, `"retry_after":false`, maxRetryAfter, balancer.Microseconds(0)},
+		{"repeat idempotent", `"deduplicated"`, `"idempotent"`, idempotency, balancer.Idempotent},
+		{"repeat deduplicated", `"deduplicated"`, `"deduplicated"`, idempotency, balancer.IdempotentWithKey},
+		{"repeat at most once", `"deduplicated"`, `"at_most_once"`, idempotency, balancer.NotIdempotent},
+		{"scope all", `"cell"`, `"all"`, dedupScope, balancer.DedupTier},
+		{"scope zone", `"cell"`, `"zone"`, dedupScope, balancer.DedupZone},
+		{"scope cell", `"cell"`, `"cell"`, dedupScope, balancer.DedupCell},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if site := decode(t, test.old, test.new); !test.holds(site.Balancer) {
-				t.Errorf("got %+v", site.Balancer)
+			if got := test.field(decode(t, test.old, test.new).Balancer); got != test.want {
+				t.Errorf("got %v, want %v", got, test.want)
 			}
 		})
 	}
