--- a/internal/scale/reload/reload_test.go
+++ b/internal/scale/reload/reload_test.go
@@ -65,7 +65,9 @@
 	}
 }
 
-func TestRunEndsWithContext(t *testing.T) { scaletest.CheckCancelledRun(t, Experiment, "change %d of %d") }
+func TestRunEndsWithContext(t *testing.T) {
+	scaletest.CheckCancelledRun(t, Experiment, "change %d of %d")
+}
 
 func TestQuantile(t *testing.T) {
 	sorted := []float64{1, 2, 3, 4}
