--- a/internal/emulator/hollow/hollow_test.go
+++ b/internal/emulator/hollow/hollow_test.go
@@ -24,8 +24,10 @@
 func testSettings() balancer.Settings {
 	return balancer.Settings{Replicas: 1, Zones: 1, MaxAttempts: 3, SlowStartCapacity: 0.2, SlowStartDuration: 20_000_000,
 		Classes: []balancer.Class{
-			{LatencyObjective: 500_000, Deadline: 1_500_000, PriorityWeight: 1, LateFraction: 0.5, Idempotency: balancer.Idempotent},
-			{LatencyObjective: 500_000, Deadline: 1_500_000, PriorityWeight: 1, LateFraction: 0.5, Idempotency: balancer.NotIdempotent},
+			{LatencyObjective: 500_000, Deadline: 1_500_000, PriorityWeight: 1, LateFraction: 0.5,
+				Idempotency: balancer.Idempotent},
+			{LatencyObjective: 500_000, Deadline: 1_500_000, PriorityWeight: 1, LateFraction: 0.5,
+				Idempotency: balancer.NotIdempotent},
 		}}
 }
 
--- a/internal/scale/latency/latency_test.go
+++ b/internal/scale/latency/latency_test.go
@@ -32,23 +32,25 @@
 func TestMeasureStageCountsEveryCall(t *testing.T) {
 	p := smallPlan()
 	for _, s := range []stage{{1, 50, 2}, {3, 20, 2}} {
-		env := scaletest.Env(t)
-		measured, err := measureStage(t.Context(), env, p, s, nil)
-		if err != nil {
-			t.Fatalf("%s: %v", s.name(), err)
-		}
-		want := arrivals(env, p, s)
-		for way, got := range map[string]*callTimes{"direct": measured.direct, "through": measured.through} {
-			if n := got.calls.TotalCount() + int64(got.failed); n != want || got.lateness.TotalCount() != want {
-				t.Errorf("%s: %s: %d calls counted, %d begun, want %d", s.name(), way, n, got.lateness.TotalCount(), want)
+		t.Run(s.name(), func(t *testing.T) {
+			env := scaletest.Env(t)
+			measured, err := measureStage(t.Context(), env, p, s, nil)
+			if err != nil {
+				t.Fatal(err)
 			}
-		}
-		if !(measured.proxyCores > 0) {
-			t.Errorf("%s: the proxies used %v cores", s.name(), measured.proxyCores)
-		}
-		if env.Budget.Processes() != 0 {
-			t.Errorf("%s: %d processes still run", s.name(), env.Budget.Processes())
-		}
+			want := arrivals(env, p, s)
+			for way, got := range map[string]*callTimes{"direct": measured.direct, "through": measured.through} {
+				if n := got.calls.TotalCount() + int64(got.failed); n != want || got.lateness.TotalCount() != want {
+					t.Errorf("%s: %d calls counted, %d started, want %d", way, n, got.lateness.TotalCount(), want)
+				}
+			}
+			if !(measured.proxyCores > 0) {
+				t.Errorf("the proxies used %v cores", measured.proxyCores)
+			}
+			if n := env.Budget.Processes(); n != 0 {
+				t.Errorf("%d processes still run", n)
+			}
+		})
 	}
 }
 
--- a/internal/scale/propagation/propagation_test.go
+++ b/internal/scale/propagation/propagation_test.go
@@ -153,14 +153,16 @@
 func TestJobEndsWithContext(t *testing.T) {
 	for _, j := range allJobs(testSeed) {
 		for _, after := range []time.Duration{50 * time.Millisecond, 500 * time.Millisecond, 3 * time.Second} {
-			synctest.Test(t, func(t *testing.T) {
-				ctx, cancel := context.WithTimeout(t.Context(), after)
-				defer cancel()
-				began := time.Now()
-				_, err := j.run(ctx, scale.Env{}, smallSize(), inMemory)
-				if took := time.Since(began); !errors.Is(err, context.DeadlineExceeded) || took > after+time.Second {
-					t.Errorf("%s: error %v after %v, ended at %v", j.name(), err, took, after)
-				}
+			t.Run(j.name()+" after "+after.String(), func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) {
+					ctx, cancel := context.WithTimeout(t.Context(), after)
+					defer cancel()
+					began := time.Now()
+					_, err := j.run(ctx, scale.Env{}, smallSize(), inMemory)
+					if took := time.Since(began); !errors.Is(err, context.DeadlineExceeded) || took > after+time.Second {
+						t.Errorf("got error %v after %v", err, took)
+					}
+				})
 			})
 		}
 	}
--- a/internal/scale/slopes/slopes_test.go
+++ b/internal/scale/slopes/slopes_test.go
@@ -22,23 +22,25 @@
 
 func TestMeasureAllGivesSamplesOfEverySize(t *testing.T) {
 	for _, m := range modes() {
-		env, p := scaletest.Env(t), shortPlan()
-		points, err := measureAll(t.Context(), env, p, m, nil)
-		if err != nil {
-			t.Fatalf("%s: %v", m.name, err)
-		}
-		if len(points) != len(p.sizes) {
-			t.Fatalf("%s: %d points", m.name, len(points))
-		}
-		for i, at := range points {
-			if at.size != p.sizes[i] || at.calls == 0 {
-				t.Errorf("%s: point %d is of size %d with %d calls", m.name, i, at.size, at.calls)
+		t.Run(m.name, func(t *testing.T) {
+			env, p := scaletest.Env(t), shortPlan()
+			points, err := measureAll(t.Context(), env, p, m, nil)
+			if err != nil {
+				t.Fatal(err)
 			}
-			checkSamples(t, p, at)
-		}
-		if env.Budget.Processes() != 0 {
-			t.Errorf("%s: %d processes still run", m.name, env.Budget.Processes())
-		}
+			if len(points) != len(p.sizes) {
+				t.Fatalf("%d points, want %d", len(points), len(p.sizes))
+			}
+			for i, at := range points {
+				if at.size != p.sizes[i] || at.calls == 0 {
+					t.Errorf("point %d is of size %d with %d calls", i, at.size, at.calls)
+				}
+				checkSamples(t, p, at)
+			}
+			if n := env.Budget.Processes(); n != 0 {
+				t.Errorf("%d processes still run", n)
+			}
+		})
 	}
 }
 
