--- a/cmd/scale/run.go
+++ b/cmd/scale/run.go
@@ -23,7 +23,7 @@
 
 type runCommand struct {
 	Experiment string        `arg:"" help:"Name of the experiment; see the list command."`
-	Seed       uint64        `default:"1" help:"Of all random draws."`
+	Seed       uint64        `default:"1" help:"Seed of all random draws."`
 	Small      bool          `help:"A small and short form of the experiment."`
 	Out        string        `default:"${results}" help:"Folder for the result, a JSON file."`
 	Proxy      string        `placeholder:"FILE" help:"Program of the real proxy (default: ${program}, here or at the top of the repository)."`
