--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -12,7 +12,7 @@
 	"baylock/internal/socket"
 )
 
-// Attempt sends a request to one target, once.
+// Attempt sends a request to one target, once. Its fields are set before Run, which is called once.
 type Attempt struct {
 	Request       *Request
 	Target        Target
@@ -75,7 +75,7 @@
 // connectFailure returns the status of an attempt that got no connection. It is NotAttempted where the endpoint is not
 // at fault.
 func (a *Attempt) connectFailure(ctx context.Context, err error) balancer.Status {
-	if ctx.Err() != nil || a.pastDedupDeadline() || errors.Is(err, ErrConnectionLimit) {
+	if ctx.Err() != nil || a.pastDedupDeadline() || errors.Is(err, errConnectionLimit) {
 		return balancer.NotAttempted
 	}
 	return balancer.ConnectFailed
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// ErrConnectionLimit reports that as many connections are in use as may be open.
-var ErrConnectionLimit = errors.New("connection limit reached")
+// errConnectionLimit reports that as many connections are in use as may be open.
+var errConnectionLimit = errors.New("connection limit reached")
 
 func (p *Pool) dialWithTimeout(ctx context.Context, network, address string) (net.Conn, error) {
 	d := net.Dialer{Timeout: time.Duration(p.dialTimeout.Load()), KeepAlive: -1} // no TCP keep-alive
 	return d.DialContext(ctx, network, address)
 }
 
-// dial opens a connection to the target. The error is ErrConnectionLimit if there is no capacity.
+// dial opens a connection to the target. The error is errConnectionLimit if there is no capacity.
 func (t Target) dial(ctx context.Context) (*conn, error) {
 	if !t.pool.reserve() {
-		return nil, fmt.Errorf("dial %s: %w", t.endpoint.name, ErrConnectionLimit)
+		return nil, fmt.Errorf("dial %s: %w", t.endpoint.name, errConnectionLimit)
 	}
 	nc, err := t.pool.DialContext(ctx, "tcp", t.address)
 	if err != nil {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -129,7 +129,7 @@
 
 func TestDialReportsConnectionLimit(t *testing.T) {
 	p := newTestPool(0, "127.0.0.1:1")
-	if _, err := findTarget(t, p, "a").dial(t.Context()); !errors.Is(err, ErrConnectionLimit) {
+	if _, err := findTarget(t, p, "a").dial(t.Context()); !errors.Is(err, errConnectionLimit) {
 		t.Errorf("got error %v", err)
 	}
 }
