--- a/balancer/crosszone_test.go
+++ b/balancer/crosszone_test.go
@@ -1,25 +1,25 @@
 package balancer
 
-import (
-	"testing"
-)
+import "testing"
 
 func TestZonePreferenceFollowsOwnZone(t *testing.T) {
-	b, _ := with(t, testSettings(), 8)
-	home := b.weight(start, b.endpoints.byID["s0"], b.classes[0])
-	now := start
-	feed := func(n int, bad bool) {
-		for range n {
+	b, _ := newWithEndpoints(t, testSettings(), 8)
+	own, other, class := b.endpoints.byID["s0"], b.endpoints.byID["s2"], b.classes[0]
+	ownWeight := b.weight(testStart, own, class)
+	now := testStart
+	feed := func(rounds int, slow bool) {
+		for range rounds * minRoundSamples {
 			now++
-			b.applyPressure(now, b.classes[0], &attempt{class: &b.settings.Classes[0], sentAt: now, zone: b.settings.Zone}, pressure{slow: bad, speed: speedOf(false, !bad)})
+			a := &attempt{class: &b.settings.Classes[0], sentAt: now, zone: b.settings.Zone}
+			b.applyPressure(now, class, a, pressure{slow: slow, speed: speedOf(false, !slow)})
 		}
 	}
-	feed(60*minRoundSamples, false)
-	if away := b.weight(start, b.endpoints.byID["s2"], b.classes[0]); away > home/10 {
-		t.Errorf("a calm home leaves %.3f of the weight to other zones", away/home)
+	feed(60, false)
+	if w := b.weight(testStart, other, class); w > ownWeight/10 {
+		t.Errorf("with the own zone calm, another one weighs %.3f of it", w/ownWeight)
 	}
-	feed(20*minRoundSamples, true)
-	if away := b.weight(start, b.endpoints.byID["s2"], b.classes[0]); away < home/2 {
-		t.Errorf("a home in trouble leaves %.3f of the weight to other zones", away/home)
+	feed(20, true)
+	if w := b.weight(testStart, other, class); w < ownWeight/2 {
+		t.Errorf("with the own zone slow, another one weighs %.3f of it", w/ownWeight)
 	}
 }
--- a/balancer/evidence_test.go
+++ b/balancer/evidence_test.go
@@ -1,23 +1,35 @@
 package balancer
 
-import (
-	"testing"
-)
+import "testing"
 
-// TestEvidenceRoundCompletesFewSamplesByTime checks that a replica with little traffic completes a round by time, but only a good one.
-func TestEvidenceRoundCompletesFewSamplesByTime(t *testing.T) {
-	ev := evidenceRound{allowedBad: maxBadFraction, minDuration: 5 * second}
-	if v, _ := ev.add(start, sample{start, true, slowResponse}); v != signalPending {
-		t.Errorf("one bad finish is taken for a round: %v", v)
+// A replica with little traffic completes a round by time, but only a good one.
+func TestEvidenceRoundCompletesFewSamplesByTimeOnlyWhenGood(t *testing.T) {
+	type step struct {
+		now    Microseconds
+		sample sample
+		want   loadSignal
 	}
-	if v, _ := ev.add(start+second, sample{start, false, fastResponse}); v != signalPending {
-		t.Errorf("a half bad pair is taken for a round: %v", v)
-	}
-	ev = evidenceRound{allowedBad: maxBadFraction, minDuration: 5 * second, start: start}
-	if v, _ := ev.add(start+second, sample{start, false, fastResponse}); v != signalPending {
-		t.Errorf("quick finishes judge before slow ones can show: %v", v)
-	}
-	if v, _ := ev.add(start+5*second, sample{start + second, false, fastResponse}); v != signalHealthy {
-		t.Errorf("after its span a good round is not judged: %v", v)
+	for _, c := range []struct {
+		name  string
+		start Microseconds
+		steps []step
+	}{
+		{"half of the samples bad", 0, []step{
+			{testStart, sample{testStart, true, slowResponse}, signalPending},
+			{testStart + second, sample{testStart, false, fastResponse}, signalPending},
+		}},
+		{"all samples good", testStart, []step{
+			{testStart + second, sample{testStart, false, fastResponse}, signalPending},
+			{testStart + 5*second, sample{testStart + second, false, fastResponse}, signalHealthy},
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			round := evidenceRound{allowedBad: maxBadFraction, minDuration: 5 * second, start: c.start}
+			for i, s := range c.steps {
+				if signal, _ := round.add(s.now, s.sample); signal != s.want {
+					t.Errorf("sample %d: signal %v, want %v", i, signal, s.want)
+				}
+			}
+		})
 	}
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -9,16 +9,16 @@
 // printer is a Host that prints what it is told; a proxy would act on it.
 type printer struct{}
 
-func (printer) Send(id, server string, timeout, _ balancer.Microseconds) {
-	fmt.Println("send", id, "to", server, "for", timeout)
+func (printer) Send(id, endpoint string, timeout, _ balancer.Microseconds) {
+	fmt.Println("send", id, "to", endpoint, "for", timeout)
 }
-func (printer) Reject(id string, after balancer.Microseconds)      { fmt.Println("refuse", id) }
+func (printer) Reject(id string, after balancer.Microseconds)      { fmt.Println("reject", id) }
 func (printer) Fail(id string)                                     { fmt.Println("fail", id) }
 func (printer) SetTimer(delay balancer.Microseconds, token string) { fmt.Println("timer", token) }
-func (printer) Subscribe()                                         { fmt.Println("watch") }
+func (printer) Subscribe()                                         { fmt.Println("subscribe") }
 func (printer) Log(line string)                                    { fmt.Println("log:", line) }
 
-// A balancer is told of two servers and takes a request; the first server is full, so the request goes to the
+// A balancer is told of two endpoints and takes a request; the first endpoint is full, so the request goes to the
 // other one, which answers it.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
@@ -41,5 +41,5 @@
 	// Output:
 	// send r1 to b for 500000
 	// send r1 to a for 499000
-	// refuse r2
+	// reject r2
 }
--- a/balancer/feedback_test.go
+++ b/balancer/feedback_test.go
@@ -8,53 +8,55 @@
 func TestApplyPressureCutsClassOfLessValue(t *testing.T) {
 	s := testSettings()
 	s.Classes[1].PriorityWeight = 40
-	b, _ := with(t, s, 4)
-	cheap, dear := &b.classes[0].limit, &b.classes[1].limit
+	b, _ := newWithEndpoints(t, s, 4)
+	lowValue, highValue := &b.classes[0].limit, &b.classes[1].limit
 	for range 10 {
-		cheap.acquire()
-		dear.acquire()
+		lowValue.acquire()
+		highValue.acquire()
 	}
-	now, long := start, s.Classes[1].LatencyObjective*3/4
-	for range 4 * minRoundSamples {
-		now += 2 * long
-		b.applyPressure(now, b.classes[1], &attempt{class: &b.settings.Classes[1], sentAt: now - long}, pressure{slow: true, speed: slowResponse})
-	}
-	if cheap.max > 10 || dear.max != initialLimit {
-		t.Errorf("after slow calls of the worthier class: cheap %v, dear %v", cheap.max, dear.max)
+	now, nearObjective := testStart, s.Classes[1].LatencyObjective*3/4
+	feedSlow := func(class int) {
+		for range 4 * minRoundSamples {
+			now += 2 * nearObjective
+			a := &attempt{class: &b.settings.Classes[class], sentAt: now - nearObjective}
+			b.applyPressure(now, b.classes[class], a, pressure{slow: true, speed: slowResponse})
+		}
 	}
-	for range 4 * minRoundSamples {
-		now += 2 * long
-		b.applyPressure(now, b.classes[0], &attempt{class: &b.settings.Classes[0], sentAt: now - long}, pressure{slow: true, speed: slowResponse})
+	feedSlow(1)
+	if lowValue.max > 10 || highValue.max != initialLimit {
+		t.Errorf("slow calls of the class of greater value leave limits %v and %v", lowValue.max, highValue.max)
 	}
-	if dear.max != initialLimit {
-		t.Errorf("slow cheap calls cut the worthier class to %v", dear.max)
+	feedSlow(0)
+	if highValue.max != initialLimit {
+		t.Errorf("slow calls of the class of less value cut the other's limit to %v", highValue.max)
 	}
 }
 
-// TestApplyPressureIgnoresVaryingLatency varies the latency of the class of greater value, all well within the objective: nothing may be rejected for it.
+// A third of the calls of the class of greater value take much longer than the rest, all well within the objective.
 func TestApplyPressureIgnoresVaryingLatency(t *testing.T) {
 	s := testSettings()
 	s.Classes[1].PriorityWeight = 40
-	b, h := with(t, s, 4)
+	b, h := newWithEndpoints(t, s, 4)
+	const stepLength = 10_000 // microseconds
 	ends := map[Microseconds][]string{}
-	for step := range Microseconds(2000) { // of 10 ms
-		now := start + step*10_000
+	for step := range Microseconds(2000) {
+		now := testStart + step*stepLength
 		for _, id := range ends[step] {
-			took := now - b.requests[id].arrivedAt
-			b.HandleOutcome(now, h, Outcome{ID: id, Latency: took, RequestDone: true})
+			succeed(b, h, now, id, now-b.requests[id].arrivedAt)
+		}
+		if step%3 > 0 {
+			continue
+		}
+		id, class, steps := fmt.Sprint(step), int(step/3%2), Microseconds(10)
+		if class == 1 && step%9 == 0 {
+			steps = 28 // 0.28 s, with an objective of 0.5 s
 		}
-		if step%3 == 0 {
-			id, class, steps := fmt.Sprint(step), int(step/3%2), Microseconds(10)
-			if class == 1 && step%9 == 0 {
-				steps = 28 // 0.28 s: the aim is 0.5 s
-			}
-			ask(b, h, now, id, class)
-			if b.requests[id] != nil {
-				ends[step+steps] = append(ends[step+steps], id)
-			}
+		sendRequest(b, h, now, id, class)
+		if b.requests[id] != nil {
+			ends[step+steps] = append(ends[step+steps], id)
 		}
 	}
-	if len(h.hints) > 0 {
-		t.Errorf("%d of %d calls refused", len(h.hints), len(h.hints)+len(h.sends))
+	if len(h.retryAfters) > 0 {
+		t.Errorf("%d of %d requests rejected", len(h.retryAfters), len(h.retryAfters)+len(h.sends))
 	}
 }
--- a/balancer/handover_format_test.go
+++ b/balancer/handover_format_test.go
@@ -25,9 +25,9 @@
 func newLikeEarlier(t *testing.T) *Balancer {
 	t.Helper()
 	b, h := mustNew(t, named(testSettings())), &recorder{}
-	list := fleet(3)
-	list[2].StartedAt = start - 5*second
-	b.UpdateEndpoints(start, h, FullUpdate, list)
+	list := readyEndpoints(3)
+	list[2].StartedAt = testStart - 5*second
+	b.UpdateEndpoints(testStart, h, FullUpdate, list)
 	return b
 }
 
--- a/balancer/handover_test.go
+++ b/balancer/handover_test.go
@@ -7,12 +7,12 @@
 )
 
 func TestImportStateRestoresExportedState(t *testing.T) {
-	old, _ := with(t, testSettings(), 3)
+	old, _ := newWithEndpoints(t, testSettings(), 3)
 	old.tierLimit.max, old.quotas.multiplier, old.zones.crossZoneWeight, old.outliers.errorRate = 7.5, 0.6, 0.4, 0.2
 	old.classes[1].limit.max, old.classes[1].latency.mean, old.classes[1].latency.unloaded = 3, 400_000, 300_000
 	old.endpoints.byID["s1"].overall.factor, old.endpoints.byID["s2"].relativeLatency, old.endpoints.byID["s0"].perClass[2].factor = 0.1, 2, 0.5
 	l := old.ExportState()
-	b, h := with(t, testSettings(), 2)
+	b, h := newWithEndpoints(t, testSettings(), 2)
 	b.ImportState(l)
 	got := b.ExportState()
 	delete(l.Endpoints, "s2") // not listed here
@@ -20,15 +20,15 @@
 		t.Errorf("got %+v, want %+v", got, l)
 	}
 	b.tierLimit.max = 1
-	ask(b, h, start, "a", 0)
-	if ask(b, h, start, "b", 0); h.last() != "refuse b" {
+	sendRequest(b, h, testStart, "a", 0)
+	if sendRequest(b, h, testStart, "b", 0); h.last() != "reject b" {
 		t.Errorf("over the count: %q", h.last())
 	}
 }
 
 // TestImportStateLeavesOutInvalidValues checks each figure by itself, and that an endpoint which has restarted is not known.
 func TestImportStateLeavesOutInvalidValues(t *testing.T) {
-	b, _ := with(t, testSettings(), 2)
+	b, _ := newWithEndpoints(t, testSettings(), 2)
 	fresh := b.ExportState()
 	nan := math.NaN()
 	for _, l := range []LearnedState{{}, {TierLimit: -1, QuotaMultiplier: 1e9, CrossZoneWeight: nan, ErrorRate: 2},
@@ -47,13 +47,13 @@
 // TestImportStateMatchesClassesByName changes the configuration between the start of the old process and that of the new one.
 func TestImportStateMatchesClassesByName(t *testing.T) {
 	s := named(testSettings())
-	old, _ := with(t, s, 2)
+	old, _ := newWithEndpoints(t, s, 2)
 	old.classes[0].limit.max, old.classes[1].limit.max, old.classes[2].limit.max = 20, 30, 40
 	old.endpoints.byID["s0"].classHealth(old.classes[1]).factor = 0.5
 	l := old.ExportState()
 	moved := s
 	moved.Classes = []Class{s.Classes[2], s.Classes[1], {Name: "fresh", LatencyObjective: 1, Deadline: 1}}
-	b, _ := with(t, moved, 2)
+	b, _ := newWithEndpoints(t, moved, 2)
 	b.ImportState(l)
 	if one, two, fresh := b.classes[0].limit.max, b.classes[1].limit.max, b.classes[2].limit.max; one != 40 || two != 30 || fresh != initialLimit {
 		t.Errorf("counts %v, %v, %v", one, two, fresh)
@@ -65,9 +65,9 @@
 
 // TestImportStateMatchesUnnamedClassesByIndex reads the state of an earlier version, which had no names.
 func TestImportStateMatchesUnnamedClassesByIndex(t *testing.T) {
-	old, _ := with(t, testSettings(), 2)
+	old, _ := newWithEndpoints(t, testSettings(), 2)
 	old.classes[1].limit.max = 30
-	b, _ := with(t, named(testSettings()), 2)
+	b, _ := newWithEndpoints(t, named(testSettings()), 2)
 	if b.ImportState(old.ExportState()); b.classes[1].limit.max != 30 || b.classes[0].limit.max != initialLimit {
 		t.Errorf("counts %v, %v", b.classes[0].limit.max, b.classes[1].limit.max)
 	}
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -3,67 +3,100 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"testing"
 )
 
-// recorder is a Host that keeps what it was told.
+// testStart is when the tests' events begin.
+const testStart = Microseconds(1_000_000_000)
+
+// The classes of testSettings.
+const (
+	idempotentClass = iota
+	keyedByCellClass
+	notIdempotentClass
+	keyedByTierClass
+	keyedByZoneClass
+)
+
+// recorder is a Host that records its calls.
 type recorder struct {
-	lines  []string
-	sends  []sent
-	watch  int
-	timer  []string
-	delays []Microseconds // of the timers
-	hints  []Microseconds
+	actions       []string
+	sends         []sentAttempt
+	subscriptions int
+	timerTokens   []string
+	timerDelays   []Microseconds
+	retryAfters   []Microseconds
 }
 
-type sent struct {
-	id, server string
-	timeout    Microseconds
+type sentAttempt struct {
+	id, endpoint string
+	timeout      Microseconds
 }
 
-func (r *recorder) note(format string, a ...any) {
-	r.lines = append(r.lines, fmt.Sprintf(format, a...))
+func (r *recorder) record(format string, a ...any) {
+	r.actions = append(r.actions, fmt.Sprintf(format, a...))
 }
 
-func (r *recorder) Send(id, server string, timeout, _ Microseconds) {
-	r.note("send %s %s %d", id, server, timeout)
-	r.sends = append(r.sends, sent{id, server, timeout})
+func (r *recorder) Send(id, endpoint string, timeout, _ Microseconds) {
+	r.record("send %s %s %d", id, endpoint, timeout)
+	r.sends = append(r.sends, sentAttempt{id, endpoint, timeout})
 }
-func (r *recorder) Reject(id string, after Microseconds) {
-	r.note("refuse %s", id)
-	r.hints = append(r.hints, after)
+
+func (r *recorder) Reject(id string, retryAfter Microseconds) {
+	r.record("reject %s", id)
+	r.retryAfters = append(r.retryAfters, retryAfter)
 }
-func (r *recorder) Fail(id string) { r.note("fail %s", id) }
+
+func (r *recorder) Fail(id string) { r.record("fail %s", id) }
+
 func (r *recorder) SetTimer(delay Microseconds, token string) {
-	r.note("timer %d %s", delay, token)
-	r.timer = append(r.timer, token)
-	r.delays = append(r.delays, delay)
+	r.record("timer %d %s", delay, token)
+	r.timerTokens = append(r.timerTokens, token)
+	r.timerDelays = append(r.timerDelays, delay)
+}
+
+func (r *recorder) Log(string) { r.record("log") }
+
+func (r *recorder) Subscribe() {
+	r.record("subscribe")
+	r.subscriptions++
 }
-func (r *recorder) Log(line string) { r.note("log") }
-func (r *recorder) Subscribe()      { r.note("watch"); r.watch++ }
 
-// last is the latest action without its numbers.
+// last returns the latest action, empty if there was none.
 func (r *recorder) last() string {
-	if len(r.lines) == 0 {
+	if len(r.actions) == 0 {
 		return ""
 	}
-	return r.lines[len(r.lines)-1]
+	return r.actions[len(r.actions)-1]
 }
 
-const start = Microseconds(1_000_000_000)
-
-// testSettings has a class of every repeat kind: 0 safe, 1 keyed by cell, 2 unsafe, 3 keyed by all, 4 keyed by zone.
+// testSettings has a class of each kind of idempotency.
 func testSettings() Settings {
-	class := Class{LatencyObjective: 500_000, Deadline: 1_500_000, PriorityWeight: 1, LateFraction: 0.3}
 	s := Settings{Replicas: 1, Zones: 2, MaxAttempts: 4, DrainGrace: 500_000,
 		SlowStartCapacity: 0.2, SlowStartDuration: 20_000_000}
+	const window = 300_000
 	for _, c := range []Class{
-		{Idempotency: Idempotent}, {Idempotency: IdempotentWithKey, DedupScope: DedupCell, DedupWindow: 300_000}, {Idempotency: NotIdempotent, DedupWindow: 300_000},
-		{Idempotency: IdempotentWithKey, DedupScope: DedupTier, DedupWindow: 300_000}, {Idempotency: IdempotentWithKey, DedupScope: DedupZone, DedupWindow: 300_000},
+		idempotentClass:    {Idempotency: Idempotent},
+		keyedByCellClass:   {Idempotency: IdempotentWithKey, DedupScope: DedupCell, DedupWindow: window},
+		notIdempotentClass: {Idempotency: NotIdempotent, DedupWindow: window},
+		keyedByTierClass:   {Idempotency: IdempotentWithKey, DedupScope: DedupTier, DedupWindow: window},
+		keyedByZoneClass:   {Idempotency: IdempotentWithKey, DedupScope: DedupZone, DedupWindow: window},
 	} {
-		k := class
-		k.Idempotency, k.DedupScope, k.DedupWindow = c.Idempotency, c.DedupScope, c.DedupWindow
-		s.Classes = append(s.Classes, k)
+		c.LatencyObjective, c.Deadline, c.PriorityWeight, c.LateFraction = 500_000, 1_500_000, 1, 0.3
+		s.Classes = append(s.Classes, c)
+	}
+	return s
+}
+
+// named gives the classes and tenants names, so that Reconfigure identifies them wherever they stand.
+func named(s Settings) Settings {
+	s.Classes, s.Tenants = slices.Clone(s.Classes), slices.Clone(s.Tenants)
+	for i := range s.Classes {
+		s.Classes[i].Name = fmt.Sprint("class", i)
+	}
+	for i := range s.Tenants {
+		s.Tenants[i].Name = fmt.Sprint("tenant", i)
 	}
 	return s
 }
@@ -77,27 +110,55 @@
 	return b
 }
 
-// fleet lists n ready servers: cells of two, zones alternating by cell.
-func fleet(n int) []Endpoint {
-	var out []Endpoint
+func mustReconfigure(t *testing.T, b *Balancer, s Settings) {
+	t.Helper()
+	if err := b.Reconfigure(s); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// readyEndpoints lists n ready endpoints: cells of two, zones alternating by cell.
+func readyEndpoints(n int) []Endpoint {
+	var list []Endpoint
 	for i := range n {
-		out = append(out, Endpoint{ID: fmt.Sprintf("s%d", i), Zone: i / 2 % 2, Cell: i / 2, State: Ready, Capacity: 1})
+		list = append(list, Endpoint{ID: fmt.Sprintf("s%d", i), Zone: i / 2 % 2, Cell: i / 2, State: Ready, Capacity: 1})
 	}
-	return out
+	return list
 }
 
-// with returns a balancer that knows n servers, and its host.
-func with(t *testing.T, s Settings, n int) (*Balancer, *recorder) {
+// newWithEndpoints returns a Balancer that knows n ready endpoints, and its host.
+func newWithEndpoints(t *testing.T, s Settings, n int) (*Balancer, *recorder) {
+	t.Helper()
 	b, h := mustNew(t, s), &recorder{}
-	b.UpdateEndpoints(start, h, FullUpdate, fleet(n))
+	b.UpdateEndpoints(testStart, h, FullUpdate, readyEndpoints(n))
 	return b, h
 }
 
-func ask(b *Balancer, h Host, now Microseconds, id string, class int) {
-	b.HandleRequest(now, h, Request{ID: id, Class: class, Deadline: now + 1_000_000})
+// sendRequest has a request arrive that its client waits a second for.
+func sendRequest(b *Balancer, h Host, now Microseconds, id string, class int) {
+	b.HandleRequest(now, h, Request{ID: id, Class: class, Deadline: now + second})
+}
+
+// succeed ends a request's first attempt with success.
+func succeed(b *Balancer, h Host, now Microseconds, id string, latency Microseconds) {
+	b.HandleOutcome(now, h, Outcome{ID: id, Status: OK, Latency: latency, RequestDone: true})
+}
+
+// countSends has n requests arrive, each answered at once, and counts what each endpoint got.
+func countSends(b *Balancer, now Microseconds, n int) map[string]int {
+	h, counts := &recorder{}, map[string]int{}
+	for i := range n {
+		id := fmt.Sprint(now, "-", i)
+		sendRequest(b, h, now, id, idempotentClass)
+		if len(h.sends) == i+1 {
+			counts[h.sends[i].endpoint]++
+			succeed(b, h, now+1000, id, 1000)
+		}
+	}
+	return counts
 }
 
 // drawTime draws a time in [0, most).
-func drawTime(rnd *rand.Rand, most Microseconds) Microseconds {
-	return Microseconds(rnd.Int64N(int64(most)))
+func drawTime(random *rand.Rand, most Microseconds) Microseconds {
+	return Microseconds(random.Int64N(int64(most)))
 }
--- a/balancer/limit_test.go
+++ b/balancer/limit_test.go
@@ -7,99 +7,104 @@
 )
 
 func TestConcurrencyLimitAdmitsFractionByChance(t *testing.T) {
-	r := concurrencyLimit{max: 2.25}
+	l := concurrencyLimit{max: 2.25}
 	for _, c := range []struct {
 		u    float64
 		want bool
 	}{{0, true}, {0, true}, {0.7, false}, {0.8, true}, {0.99, false}} {
-		if r.admits(c.u) != c.want {
-			t.Fatalf("canPass is %v at %d in flight of 2.25 with %v", !c.want, r.inFlight, c.u)
+		if l.admits(c.u) != c.want {
+			t.Fatalf("admits(%v) is %v with %d in flight of 2.25", c.u, !c.want, l.inFlight)
 		}
 		if c.want {
-			r.acquire()
+			l.acquire()
 		}
 	}
 }
 
-// TestConcurrencyLimitFollowsUse sends a burst after calm rounds: the limit must have come down to what was in use.
+// After calm rounds the limit has come down to what was in use, so that a burst does not fill all endpoints.
 func TestConcurrencyLimitFollowsUse(t *testing.T) {
-	b, h := with(t, testSettings(), 4)
-	now, n := start, 0
-	for ; n < 200; n++ { // one call out at a time
+	b, h := newWithEndpoints(t, testSettings(), 4)
+	now, n := testStart, 0
+	for ; n < 200; n++ { // one call in flight at a time
 		now += second / 4
-		ask(b, h, now, fmt.Sprint(n), 0)
-		b.HandleOutcome(now+100_000, h, Outcome{ID: fmt.Sprint(n), Status: OK, Latency: 100_000, RequestDone: true})
+		sendRequest(b, h, now, fmt.Sprint(n), idempotentClass)
+		succeed(b, h, now+100_000, fmt.Sprint(n), 100_000)
 	}
 	before := len(h.sends)
 	for range 50 {
 		n++
-		ask(b, h, now+second/5, fmt.Sprint(n), 0)
+		sendRequest(b, h, now+second/5, fmt.Sprint(n), idempotentClass)
 	}
 	if sent := len(h.sends) - before; sent < 3 || sent > 6 {
-		t.Errorf("of a burst of 50 calls %d are sent where one at a time was seen out", sent)
+		t.Errorf("%d of a burst of 50 are sent after one in flight at a time, want 3 to 6", sent)
 	}
 }
 
+func newLimit() concurrencyLimit {
+	return concurrencyLimit{max: initialLimit, floor: minLimit,
+		evidence: evidenceRound{allowedBad: maxBadFraction, minDuration: second}}
+}
+
 func TestConcurrencyLimitAdjustsByRounds(t *testing.T) {
-	r := concurrencyLimit{max: initialLimit, floor: minLimit, evidence: evidenceRound{allowedBad: maxBadFraction, minDuration: second}}
-	now := start
+	l, now := newLimit(), testStart
 	feed := func(n int, bad bool) {
 		for range n {
 			now++
-			r.adjust(&r.evidence, now, sample{now, bad, speedOf(false, !bad)})
+			l.adjust(&l.evidence, now, sample{now, bad, speedOf(false, !bad)})
 		}
 	}
 	for range 20 {
-		r.acquire()
+		l.acquire()
 	}
 	feed(minRoundSamples, false)
-	if want := limitHeadroomFactor*20 + limitHeadroom; r.max != want {
-		t.Errorf("after a good round: %v, want %v", r.max, want)
+	afterGood := limitHeadroomFactor*20 + limitHeadroom
+	if l.max != afterGood {
+		t.Errorf("after a good round: %v, want %v", l.max, afterGood)
 	}
-	sure := int(math.Floor(maxBadFraction*minRoundSamples)) + 1 // bad finishes after which no good ones could save the round
-	feed(sure-1, true)
-	if want := limitHeadroomFactor*20 + limitHeadroom; r.max != want {
-		t.Errorf("before its verdict is sure a round changed the count to %v", r.max)
+	decisive := int(math.Floor(maxBadFraction*minRoundSamples)) + 1 // bad samples that good ones cannot outweigh
+	feed(decisive-1, true)
+	if l.max != afterGood {
+		t.Errorf("before the round is complete: %v, want %v", l.max, afterGood)
 	}
 	feed(1, true)
-	cut := 20 * (1 - decreaseFactor*float64(sure)/(minRoundSamples/2))
-	if r.max != cut {
-		t.Errorf("after a bad round: %v, want %v", r.max, cut)
+	cut := 20 * (1 - decreaseFactor*float64(decisive)/(minRoundSamples/2))
+	if l.max != cut {
+		t.Errorf("after a bad round: %v, want %v", l.max, cut)
 	}
 	sentBefore := now - 1
-	for range 3 * minRoundSamples { // evidence from before the cut must not cut again
-		r.adjust(&r.evidence, now, sample{sentBefore, true, slowResponse})
+	for range 3 * minRoundSamples {
+		l.adjust(&l.evidence, now, sample{sentBefore, true, slowResponse})
 	}
-	if r.max != cut {
-		t.Errorf("old evidence changed the count to %v", r.max)
+	if l.max != cut {
+		t.Errorf("after samples of calls sent before the cut: %v, want %v", l.max, cut)
 	}
-	r.inFlight, r.peak = 0, 0
+	l.inFlight, l.peak = 0, 0
 	for range 50 {
 		feed(minRoundSamples, true)
 	}
-	if r.max != minLimit {
-		t.Errorf("the count fell to %v, below its floor %v", r.max, minLimit)
+	if l.max != minLimit {
+		t.Errorf("after many bad rounds: %v, want %v", l.max, minLimit)
 	}
 }
 
-// TestConcurrencyLimitKeepsThroughFaults mixes failures with calls that are as fast as without load, which are no evidence of load.
-func TestConcurrencyLimitKeepsThroughFaults(t *testing.T) {
-	r := concurrencyLimit{max: initialLimit, floor: minLimit, evidence: evidenceRound{allowedBad: maxBadFraction, minDuration: second}}
+// Failures beside calls that are as fast as without load are no evidence of load.
+func TestConcurrencyLimitIsNotCutByFaults(t *testing.T) {
+	l := newLimit()
 	for range 20 {
-		r.acquire()
+		l.acquire()
 	}
 	for i := range Microseconds(20 * minRoundSamples) {
 		bad := i%3 > 0 // two of three calls are late or fail, the others are fast
-		r.adjust(&r.evidence, start+i, sample{start + i, bad, speedOf(bad, true)})
+		l.adjust(&l.evidence, testStart+i, sample{testStart + i, bad, speedOf(bad, true)})
 	}
-	if want := limitHeadroomFactor * 20; r.max < want {
-		t.Errorf("failures beside fast calls cut the count to %v, want %v or more", r.max, want)
+	if want := limitHeadroomFactor * 20; l.max < want {
+		t.Errorf("failures beside fast calls: %v, want %v or more", l.max, want)
 	}
-	for i := range Microseconds(20 * minRoundSamples) {
-		now := start + second + i
-		r.adjust(&r.evidence, now, sample{now, i%3 > 0, slowResponse}) // as many are bad, but now no other is fast
+	for i := range Microseconds(20 * minRoundSamples) { // as many are bad, but no other is fast
+		now := testStart + second + i
+		l.adjust(&l.evidence, now, sample{now, i%3 > 0, slowResponse})
 	}
-	if r.max > 5 {
-		t.Errorf("slow calls leave a count of %v", r.max)
+	if l.max > 5 {
+		t.Errorf("slow calls: %v, want 5 or less", l.max)
 	}
 }
--- a/balancer/load_model_test.go
+++ b/balancer/load_model_test.go
@@ -8,89 +8,89 @@
 	"baylock/internal/timing"
 )
 
-// A loadModel plays some copies of the module before servers with one worker and one queue each, on a drawn day.
+// A loadModel plays some replicas of the module before endpoints with one worker and one queue each, on a drawn day.
 const (
-	modelCopies  = 4
-	modelServers = 16
-	modelService = 50_000 // mean service time, exponential
-	modelNetwork = 1_000
-	modelQueue   = second // a server whose backlog is longer is full
+	modelReplicas    = 4
+	modelEndpoints   = 16
+	modelServiceTime = 50_000 // mean service time, exponential
+	modelNetworkTime = 1_000
+	modelMaxBacklog  = second // a endpoint whose backlog is longer is full
 
-	modelCapacity = modelServers * float64(second) / modelService // calls a second
+	modelCapacity = modelEndpoints * float64(second) / modelServiceTime // calls a second
 )
 
 // modelFaults are parts of all calls, but for choke.
 type modelFaults struct {
-	lateDials float64 // whose connection comes up to 1.5 s late
-	resets    float64
-	errors    float64      // that a deeper tier fails
-	leaves    float64      // whose client leaves after 0.2 s
-	choke     Microseconds // a server with a longer backlog works at half its speed; 0: never
+	lateDials   float64 // whose connection comes up to 1.5 s late
+	resets      float64
+	errors      float64      // that a deeper tier fails
+	cancels     float64      // whose client leaves after 0.2 s
+	slowBacklog Microseconds // a endpoint with a longer backlog works at half its speed; 0: never
 }
 
-type modelServer struct{ freeAt Microseconds }
+type modelEndpoint struct{ freeAt Microseconds }
 
-type modelCall struct {
-	id       string
-	copy     int
-	came     Microseconds
-	attempts int
-	over     bool
+type modelRequest struct {
+	id        string
+	replica   int
+	arrivedAt Microseconds
+	attempts  int
+	done      bool
 }
 
 type loadModel struct {
-	rnd     *rand.Rand
-	faults  modelFaults
-	now     Microseconds
-	events  timing.Queue[func()]
-	servers map[string]*modelServer
-	copies  []*Balancer
-	calls   map[string]*modelCall
-	asked   int
-	inTime  int
-	shed    int // refused unsent
-	refused int // after an attempt
-	failed  int
-}
-
-// modelHost carries out what one copy decides.
+	random    *rand.Rand
+	faults    modelFaults
+	now       Microseconds
+	events    timing.Queue[func()]
+	endpoints map[string]*modelEndpoint
+	replicas  []*Balancer
+	requests  map[string]*modelRequest
+	arrived   int
+	inTime    int
+	shed      int // rejected unsent
+	rejected  int // after an attempt
+	failed    int
+}
+
+// modelHost carries out what one replica decides.
 type modelHost struct {
-	model *loadModel
-	copy  int
+	model   *loadModel
+	replica int
 }
 
 func newLoadModel(t *testing.T, seed uint64, faults modelFaults) *loadModel {
-	m := &loadModel{rnd: rand.New(rand.NewPCG(seed, 1)), faults: faults, now: start,
-		servers: map[string]*modelServer{}, calls: map[string]*modelCall{}}
+	m := &loadModel{random: rand.New(rand.NewPCG(seed, 1)), faults: faults, now: testStart,
+		endpoints: map[string]*modelEndpoint{}, requests: map[string]*modelRequest{}}
 	s := testSettings()
-	s.Classes, s.Zones, s.Replicas, s.MaxRetryAfter = s.Classes[:1], 1, modelCopies, second
+	s.Classes, s.Zones, s.Replicas, s.MaxRetryAfter = s.Classes[:1], 1, modelReplicas, second
 	s.Tenants = []Tenant{{QuotaFraction: 1, RateQuota: modelCapacity}}
 	var list []Endpoint
-	for i := range modelServers {
+	for i := range modelEndpoints {
 		id := fmt.Sprintf("s%d", i)
-		m.servers[id] = &modelServer{}
+		m.endpoints[id] = &modelEndpoint{}
 		list = append(list, Endpoint{ID: id, State: Ready, Capacity: 1})
 	}
-	for i := range modelCopies {
+	for i := range modelReplicas {
 		s.ReplicaIndex = i
 		b, err := New(s, seed+uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
 		b.UpdateEndpoints(m.now, modelHost{m, i}, FullUpdate, list)
-		m.copies = append(m.copies, b)
+		m.replicas = append(m.replicas, b)
 	}
 	return m
 }
 
-// plan has something happen after a delay.
-func (m *loadModel) plan(delay Microseconds, do func()) {
+// schedule has something happen after a delay.
+func (m *loadModel) schedule(delay Microseconds, do func()) {
 	m.events.Add(timing.NewTimer(m.now+delay, do))
 }
 
 // run has that part of the capacity asked for, for so long, and counts anew.
 func (m *loadModel) run(load float64, span Microseconds) {
-	m.asked, m.inTime, m.shed, m.refused, m.failed = 0, 0, 0, 0, 0
+	m.arrived, m.inTime, m.shed, m.rejected, m.failed = 0, 0, 0, 0, 0
 	end := m.now + span
 	next := m.now
 	for next < end {
@@ -99,98 +99,98 @@
 			e.Value()
 		}
 		m.now = next
-		m.ask()
-		next += Microseconds(m.rnd.ExpFloat64() / (load * modelCapacity) * float64(second))
+		m.arrive()
+		next += Microseconds(m.random.ExpFloat64() / (load * modelCapacity) * float64(second))
 	}
 }
 
-func (m *loadModel) ask() {
-	m.asked++
-	c := &modelCall{id: fmt.Sprint(len(m.calls)), copy: m.rnd.IntN(modelCopies), came: m.now}
-	m.calls[c.id] = c
-	h := modelHost{m, c.copy}
-	if m.rnd.Float64() < m.faults.leaves {
-		m.plan(second/5, func() {
-			if !c.over {
-				c.over = true
-				m.copies[c.copy].CancelRequest(m.now, h, c.id)
+func (m *loadModel) arrive() {
+	m.arrived++
+	c := &modelRequest{id: fmt.Sprint(len(m.requests)), replica: m.random.IntN(modelReplicas), arrivedAt: m.now}
+	m.requests[c.id] = c
+	h := modelHost{m, c.replica}
+	if m.random.Float64() < m.faults.cancels {
+		m.schedule(second/5, func() {
+			if !c.done {
+				c.done = true
+				m.replicas[c.replica].CancelRequest(m.now, h, c.id)
 			}
 		})
 	}
-	m.copies[c.copy].HandleRequest(m.now, h, Request{ID: c.id, Deadline: m.now + 1_500_000})
+	m.replicas[c.replica].HandleRequest(m.now, h, Request{ID: c.id, Deadline: m.now + 1_500_000})
 }
 
-func (h modelHost) Send(id, server string, timeout, _ Microseconds) {
-	m, c := h.model, h.model.calls[id]
+func (h modelHost) Send(id, endpoint string, timeout, _ Microseconds) {
+	m, c := h.model, h.model.requests[id]
 	attempt, sent := c.attempts, m.now
 	c.attempts++
-	dial := Microseconds(modelNetwork)
-	if m.rnd.Float64() < m.faults.lateDials {
-		dial += drawTime(m.rnd, 1_500_000)
+	dial := Microseconds(modelNetworkTime)
+	if m.random.Float64() < m.faults.lateDials {
+		dial += drawTime(m.random, 1_500_000)
 	}
-	m.plan(min(dial, timeout), func() {
+	m.schedule(min(dial, timeout), func() {
 		if dial >= timeout {
 			h.end(c, attempt, ConnectFailed, sent)
 			return
 		}
-		status, took := m.serve(m.servers[server])
+		status, took := m.serve(m.endpoints[endpoint])
 		if left := sent + timeout - m.now; took > left {
 			status, took = TimedOut, left
 		}
-		m.plan(took, func() { h.end(c, attempt, status, sent) })
+		m.schedule(took, func() { h.end(c, attempt, status, sent) })
 	})
 }
 
-// serve puts a call into a server's queue and tells how it will end and when.
-func (m *loadModel) serve(s *modelServer) (Status, Microseconds) {
+// serve puts a call into a endpoint's queue and tells how it will end and when.
+func (m *loadModel) serve(s *modelEndpoint) (Status, Microseconds) {
 	backlog := max(0, s.freeAt-m.now)
-	switch u := m.rnd.Float64(); {
+	switch u := m.random.Float64(); {
 	case u < m.faults.resets:
-		return Reset, modelNetwork
+		return Reset, modelNetworkTime
 	case u < m.faults.resets+m.faults.errors:
-		return Error, modelNetwork + drawTime(m.rnd, modelService)
-	case backlog > modelQueue:
-		return Rejected, modelNetwork
+		return Error, modelNetworkTime + drawTime(m.random, modelServiceTime)
+	case backlog > modelMaxBacklog:
+		return Rejected, modelNetworkTime
 	}
-	work := Microseconds(m.rnd.ExpFloat64() * modelService)
-	if m.faults.choke > 0 && backlog > m.faults.choke {
+	work := Microseconds(m.random.ExpFloat64() * modelServiceTime)
+	if m.faults.slowBacklog > 0 && backlog > m.faults.slowBacklog {
 		work *= 2
 	}
 	s.freeAt = m.now + backlog + work
-	return OK, backlog + work + modelNetwork
+	return OK, backlog + work + modelNetworkTime
 }
 
-func (h modelHost) end(c *modelCall, attempt int, status Status, sent Microseconds) {
+func (h modelHost) end(c *modelRequest, attempt int, status Status, sent Microseconds) {
 	m := h.model
-	if c.over {
+	if c.done {
 		status = Cancelled
 	} else if status == OK {
-		c.over = true
-		if m.now-c.came <= 500_000 {
+		c.done = true
+		if m.now-c.arrivedAt <= 500_000 {
 			m.inTime++
 		}
 	}
-	m.copies[h.copy].HandleOutcome(m.now, h,
-		Outcome{ID: c.id, Attempt: attempt, Status: status, Latency: m.now - sent, RequestDone: c.over})
+	m.replicas[h.replica].HandleOutcome(m.now, h,
+		Outcome{ID: c.id, Attempt: attempt, Status: status, Latency: m.now - sent, RequestDone: c.done})
 }
 
 func (h modelHost) Reject(id string, _ Microseconds) {
-	c := h.model.calls[id]
-	c.over = true
+	c := h.model.requests[id]
+	c.done = true
 	if c.attempts == 0 {
 		h.model.shed++
 	} else {
-		h.model.refused++
+		h.model.rejected++
 	}
 }
 
 func (h modelHost) Fail(id string) {
-	h.model.calls[id].over = true
+	h.model.requests[id].done = true
 	h.model.failed++
 }
 
 func (h modelHost) SetTimer(delay Microseconds, token string) {
-	h.model.plan(delay, func() { h.model.copies[h.copy].TimerFired(h.model.now, h, token) })
+	h.model.schedule(delay, func() { h.model.replicas[h.replica].TimerFired(h.model.now, h, token) })
 }
 func (h modelHost) Subscribe() {}
 func (h modelHost) Log(string) {}
@@ -198,12 +198,12 @@
 // TestLoadModelShedsLittleUnderFaults has a tenth of the load, with late connections, resets, failures of a deeper tier and clients that leave.
 func TestLoadModelShedsLittleUnderFaults(t *testing.T) {
 	for seed := range uint64(8) {
-		m := newLoadModel(t, seed, modelFaults{lateDials: 0.3, resets: 0.05, errors: 0.1, leaves: 0.05})
+		m := newLoadModel(t, seed, modelFaults{lateDials: 0.3, resets: 0.05, errors: 0.1, cancels: 0.05})
 		m.run(0.1, 60*second)
-		t.Logf("seed %d: %d asked, %d in time, %d shed, %d refused, %d failed",
-			seed, m.asked, m.inTime, m.shed, m.refused, m.failed)
-		if float64(m.shed) > 0.01*float64(m.asked) {
-			t.Errorf("seed %d: %d of %d refused unsent", seed, m.shed, m.asked)
+		t.Logf("seed %d: %d asked, %d in time, %d shed, %d rejected, %d failed",
+			seed, m.arrived, m.inTime, m.shed, m.rejected, m.failed)
+		if float64(m.shed) > 0.01*float64(m.arrived) {
+			t.Errorf("seed %d: %d of %d rejected unsent", seed, m.shed, m.arrived)
 		}
 	}
 }
@@ -219,8 +219,8 @@
 		m.run(1.4, span)
 		goodput := float64(m.inTime) / float64(span/second) / modelCapacity
 		sum += goodput
-		t.Logf("seed %d: %d asked, %d in time (%.2f of capacity), %d shed, %d refused, %d failed",
-			seed, m.asked, m.inTime, goodput, m.shed, m.refused, m.failed)
+		t.Logf("seed %d: %d asked, %d in time (%.2f of capacity), %d shed, %d rejected, %d failed",
+			seed, m.arrived, m.inTime, goodput, m.shed, m.rejected, m.failed)
 		if goodput < 0.85 {
 			t.Errorf("seed %d: goodput %.2f of capacity", seed, goodput)
 		}
@@ -233,14 +233,14 @@
 // TestLoadModelRecoversAfterOverload has endpoints that work at half their speed while overloaded: they recover within ten seconds of the load.
 func TestLoadModelRecoversAfterOverload(t *testing.T) {
 	for seed := range uint64(8) {
-		m := newLoadModel(t, seed, modelFaults{choke: 300_000})
+		m := newLoadModel(t, seed, modelFaults{slowBacklog: 300_000})
 		m.run(1.4, 10*second)
 		m.run(0.7, 10*second)
 		m.run(0.7, 5*second)
-		t.Logf("seed %d: %d asked, %d in time, %d shed, %d refused, %d failed",
-			seed, m.asked, m.inTime, m.shed, m.refused, m.failed)
-		if float64(m.inTime) < 0.95*float64(m.asked) {
-			t.Errorf("seed %d: %d of %d in time from 10 s after the load's fall", seed, m.inTime, m.asked)
+		t.Logf("seed %d: %d asked, %d in time, %d shed, %d rejected, %d failed",
+			seed, m.arrived, m.inTime, m.shed, m.rejected, m.failed)
+		if float64(m.inTime) < 0.95*float64(m.arrived) {
+			t.Errorf("seed %d: %d of %d in time from 10 s after the load's fall", seed, m.inTime, m.arrived)
 		}
 	}
 }
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -6,71 +6,71 @@
 )
 
 func TestWeightFollowsLatencyAndFailures(t *testing.T) {
-	b, _ := with(t, testSettings(), 2)
-	fast, slow := b.endpoints.byID["s0"], b.endpoints.byID["s1"]
-	c := b.classes[0]
+	b, _ := newWithEndpoints(t, testSettings(), 2)
+	fast, slow, class := b.endpoints.byID["s0"], b.endpoints.byID["s1"], b.classes[0]
 	for range 200 {
-		c.latency.record(fast, 100_000)
-		c.latency.record(slow, 300_000)
+		class.latency.record(fast, 100_000)
+		class.latency.record(slow, 300_000)
 	}
-	if b.weight(start, fast, b.classes[0]) < 2*b.weight(start, slow, b.classes[0]) {
-		t.Errorf("weights %v and %v", b.weight(start, fast, b.classes[0]), b.weight(start, slow, b.classes[0]))
+	before := b.weight(testStart, fast, class)
+	if slowWeight := b.weight(testStart, slow, class); before < 2*slowWeight {
+		t.Errorf("weights %v and %v, want the fast endpoint's twice the slow one's", before, slowWeight)
 	}
-	before := b.weight(start, fast, b.classes[0])
-	b.outliers.record(fast, b.classes[0], Error)
-	if b.weight(start, fast, b.classes[0]) > before/2 {
-		t.Error("a failure that its peer does not show left the weight")
+	b.outliers.record(fast, class, Error)
+	if w := b.weight(testStart, fast, class); w > before/2 {
+		t.Errorf("a failure that peers do not show leaves weight %v of %v", w, before)
 	}
 	for range 100 {
-		b.outliers.record(fast, b.classes[0], Error)
+		b.outliers.record(fast, class, Error)
 	}
-	if b.weight(start, fast, b.classes[0]) <= 0 {
-		t.Error("no floor keeps trials going")
+	if w := b.weight(testStart, fast, class); w <= 0 {
+		t.Errorf("many failures leave weight %v, want a part for trials", w)
 	}
 }
 
-// TestPickEndpointAvoidsFastFailingEndpoint has one endpoint fail at once: that it has nothing in flight must not draw calls.
+// An endpoint that fails at once has nothing in flight while its peers hold each call for a while.
 func TestPickEndpointAvoidsFastFailingEndpoint(t *testing.T) {
-	b, h := with(t, testSettings(), 4)
-	now, ill, sent := start, 0, 0
+	b, h := newWithEndpoints(t, testSettings(), 4)
+	now, failed, sent := testStart, 0, 0
 	for i := range 400 {
 		id := fmt.Sprint(i)
 		now += 20_000
-		ask(b, h, now, id, 0)
+		sendRequest(b, h, now, id, idempotentClass)
 		for n := 0; n < 4 && len(h.sends) > sent; n++ {
-			s := h.sends[len(h.sends)-1]
-			if sent = len(h.sends); s.server != "s0" {
-				break // its peers hold each call for a while
+			latest := h.sends[len(h.sends)-1]
+			if sent = len(h.sends); latest.endpoint != "s0" {
+				break
 			}
-			ill++
+			failed++
 			b.HandleOutcome(now+1000, h, Outcome{ID: id, Attempt: n, Status: Error, Latency: 1000})
 		}
-		if i >= 20 {
-			id := fmt.Sprint(i - 20)
-			if q := b.requests[id]; q != nil {
-				b.HandleOutcome(now+2000, h, Outcome{ID: id, Attempt: len(q.attempts) - 1, Latency: 400_000, RequestDone: true})
-			}
+		if i < 20 {
+			continue
+		}
+		id = fmt.Sprint(i - 20)
+		if req := b.requests[id]; req != nil {
+			b.HandleOutcome(now+2000, h, Outcome{ID: id, Attempt: len(req.attempts) - 1, Latency: 400_000, RequestDone: true})
 		}
 	}
-	if ill == 0 || ill > sent/10 {
-		t.Errorf("%d of %d attempts went to the failing server of four", ill, sent)
+	if failed == 0 || failed > sent/10 {
+		t.Errorf("%d of %d attempts went to the failing endpoint of four, want some and at most a tenth", failed, sent)
 	}
 }
 
-// TestPickEndpointKeepsRejectingEndpoint has one endpoint reject every other call: without its part of the calls the others would be crowded.
+// Without its part of the calls a rejecting endpoint would leave the others crowded.
 func TestPickEndpointKeepsRejectingEndpoint(t *testing.T) {
-	b, h := with(t, testSettings(), 4)
-	now, there := start, 0
+	b, h := newWithEndpoints(t, testSettings(), 4)
+	now, firstAttempts := testStart, 0
 	for i := range 400 {
 		id := fmt.Sprint(i)
 		now += 20_000
-		ask(b, h, now, id, 0)
+		sendRequest(b, h, now, id, idempotentClass)
 		if b.requests[id] == nil {
 			continue
 		}
 		status := OK
-		if s := h.sends[len(h.sends)-1]; s.server == "s0" {
-			if there++; there%2 == 0 {
+		if latest := h.sends[len(h.sends)-1]; latest.endpoint == "s0" {
+			if firstAttempts++; firstAttempts%2 == 0 {
 				status = Rejected
 			}
 		}
@@ -79,7 +79,7 @@
 			status = OK
 		}
 	}
-	if there < 70 {
-		t.Errorf("%d of 400 requests went first to the server that is full every other time", there)
+	if firstAttempts < 70 {
+		t.Errorf("%d of 400 first attempts went to the endpoint that rejects every other, want 70 or more", firstAttempts)
 	}
 }
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -7,195 +7,215 @@
 	"testing"
 )
 
+// countAdmitted counts what a quota of rate requests a second admits from a time on, asked at each step.
+func countAdmitted(quota *tenantQuota, rate float64, span, step Microseconds) int {
+	admitted := 0
+	for now := testStart; now < testStart+span; now += step {
+		if quota.admits(now, testStart, rate, 0, 0.5) {
+			quota.admitted.add(now)
+			admitted++
+		}
+	}
+	return admitted
+}
+
 func TestTenantQuotaAdmitsRate(t *testing.T) {
-	for _, count := range []float64{0.5, 3, 40} {
-		var r tenantQuota
-		passed := 0
-		const secs = 40
-		for now := start; now < start+secs*second; now += second / 100 {
-			if r.admits(now, start, count, 0, 0.5) {
-				r.admitted.add(now)
-				passed++
+	for _, rate := range []float64{0.5, 3, 40} {
+		t.Run(fmt.Sprint(rate), func(t *testing.T) {
+			const seconds = 40
+			got := float64(countAdmitted(&tenantQuota{}, rate, seconds*second, second/100)) / seconds
+			if math.Abs(got-rate) > 0.15*rate+1.0/seconds {
+				t.Errorf("admits %.2f a second, want %.1f", got, rate)
 			}
-		}
-		if rate := float64(passed) / secs; math.Abs(rate-count) > 0.15*count+1.0/secs {
-			t.Errorf("count %.1f passed %.2f a second", count, rate)
-		}
+		})
 	}
 }
 
-// TestTenantQuotaLimitsFreshReplica checks that a fresh replica does not admit a long window of requests at once.
+// A fresh replica must not admit a long window of requests at once.
 func TestTenantQuotaLimitsFreshReplica(t *testing.T) {
-	var r tenantQuota
-	passed := 0
-	for now := start; now < start+second; now += second / 100 {
-		if r.admits(now, start, 3, 0, 0.5) {
-			r.admitted.add(now)
-			passed++
-		}
-	}
-	if passed > 4 {
-		t.Errorf("passed %d in the first second with a count of 3", passed)
+	if admitted := countAdmitted(&tenantQuota{}, 3, second, second/100); admitted > 4 {
+		t.Errorf("admits %d in the first second, at 3 a second", admitted)
 	}
 }
 
-// TestTenantQuotaAdmitsLessThanOneRequestPerWindow has many replicas with a rate far below one request per window: not each of them may admit one.
+// Many replicas with a rate far below one request per window must not admit one each.
 func TestTenantQuotaAdmitsLessThanOneRequestPerWindow(t *testing.T) {
-	passed := 0
-	rnd := rand.New(rand.NewPCG(5, 5))
-	for range 200 {
-		var r tenantQuota
-		for now := start; now < start+8*second; now += second {
-			if r.admits(now, start-100*second, 0.01, 0, rnd.Float64()) {
-				r.admitted.add(now)
-				passed++
+	const replicas = 200
+	admitted := 0
+	random := rand.New(rand.NewPCG(5, 5))
+	for range replicas {
+		var quota tenantQuota
+		for now := testStart; now < testStart+8*second; now += second {
+			if quota.admits(now, testStart-100*second, 0.01, 0, random.Float64()) {
+				quota.admitted.add(now)
+				admitted++
 			}
 		}
 	}
-	if most := 200; passed >= most || passed == 0 { // was one each
-		t.Errorf("200 copies with a count of 0.01 a second passed %d calls in 8 s", passed)
+	if admitted >= replicas || admitted == 0 {
+		t.Errorf("%d replicas with 0.01 a second admit %d in 8 s, want some and fewer than one each", replicas, admitted)
 	}
 }
 
-// TestBurstAllowanceFallsWithMultiplier sends less than one request per window: bursts are allowed for in full only while calls are not slow.
+// Each tenant sends less than one request per window.
 func TestBurstAllowanceFallsWithMultiplier(t *testing.T) {
-	s := testSettings()
-	s.Replicas, s.Tenants = 100, []Tenant{{QuotaFraction: 0.5, RateQuota: 30}, {QuotaFraction: 0.5, RateQuota: 30}}
-	sent := func(share float64) int {
-		b, h := with(t, s, 4)
-		for i := range 100 {
-			now, id := start+Microseconds(i)*4*second, fmt.Sprint(i)
-			b.quotas.multiplier, b.quotas.tenants[0].arrivals, b.quotas.arrivals = share, decayingCount{}, decayingCount{}
-			b.HandleRequest(now, h, Request{ID: id, Deadline: now + second})
-			b.HandleOutcome(now, h, Outcome{ID: id, Status: OK, Latency: 1000, RequestDone: true})
-		}
-		return len(h.sends)
-	}
-	if n := sent(1); n < 95 {
-		t.Errorf("with nothing slow %d of 100 pass", n)
-	}
-	if n := sent(0.2); n > 60 || n < 20 {
-		t.Errorf("at a share of 0.2 %d of 100 pass", n)
+	for _, c := range []struct {
+		multiplier  float64
+		least, most int // of 100
+	}{{1, 95, 100}, {0.2, 20, 60}} {
+		t.Run(fmt.Sprint(c.multiplier), func(t *testing.T) {
+			s := testSettings()
+			s.Replicas = 100
+			s.Tenants = []Tenant{{QuotaFraction: 0.5, RateQuota: 30}, {QuotaFraction: 0.5, RateQuota: 30}}
+			b, h := newWithEndpoints(t, s, 4)
+			for i := range 100 {
+				now, id := testStart+Microseconds(i)*4*second, fmt.Sprint(i)
+				b.quotas.multiplier = c.multiplier
+				b.quotas.tenants[0].arrivals, b.quotas.arrivals = decayingCount{}, decayingCount{}
+				sendRequest(b, h, now, id, idempotentClass)
+				succeed(b, h, now, id, 1000)
+			}
+			if n := len(h.sends); n < c.least || n > c.most {
+				t.Errorf("%d of 100 are sent, want %d to %d", n, c.least, c.most)
+			}
+		})
 	}
 }
 
-// TestBurstAllowanceCoversChanceNotExcess has a tenant send its quota by chance, and another one ten times its quota.
+// At a replica that gets a request a second, chance alone fills a tenant's quota. A tenant that goes on sending more
+// than its quota must be limited all the same.
 func TestBurstAllowanceCoversChanceNotExcess(t *testing.T) {
+	for _, c := range []struct {
+		rate                        float64 // of tenant 0, whose quota is 0.3; the others send 0.25 a second each
+		leastRejected, mostRejected float64
+	}{{0.25, 0, 0.05}, {3, 0.6, 1}} {
+		t.Run(fmt.Sprint(c.rate), func(t *testing.T) {
+			if rejected := rejectedFraction(t, c.rate); rejected > c.mostRejected || rejected < c.leastRejected {
+				t.Errorf("%.2f are rejected, want %.2f to %.2f", rejected, c.leastRejected, c.mostRejected)
+			}
+		})
+	}
+}
+
+// rejectedFraction returns what part of the requests of the first of four tenants 20 replicas reject. It sends rate
+// requests a second, the others 0.25 each.
+func rejectedFraction(t *testing.T, rate float64) float64 {
+	t.Helper()
 	s := testSettings()
 	s.Replicas = 100
 	for range 4 {
 		s.Tenants = append(s.Tenants, Tenant{QuotaFraction: 0.25, RateQuota: 30})
 	}
-	for _, c := range []struct {
-		perSecond, most, least float64 // of tenant 0; the others send 0.25 a second each; parts of it refused
-	}{{0.25, 0.05, 0}, {3, 1, 0.6}} {
-		rnd := rand.New(rand.NewPCG(3, 3))
-		sent, asked := 0.0, 0.0
-		for copies := range 20 {
-			s.ReplicaIndex = copies
-			b, h := with(t, s, 4)
-			for now := start; now < start+40*second; now += second / 100 {
-				for tenant, rate := range []float64{c.perSecond, 0.25, 0.25, 0.25} {
-					if rnd.Float64() > rate/100 {
-						continue
-					}
-					id := fmt.Sprint(now, tenant)
-					before := len(h.sends)
-					b.HandleRequest(now, h, Request{ID: id, Tenant: tenant, Deadline: now + second})
-					if tenant == 0 {
-						asked++
-						sent += float64(len(h.sends) - before)
-					}
-					b.HandleOutcome(now, h, Outcome{ID: id, Status: OK, Latency: 300_000, RequestDone: true})
+	random := rand.New(rand.NewPCG(3, 3))
+	sent, requests := 0.0, 0.0
+	for replica := range 20 {
+		s.ReplicaIndex = replica
+		b, h := newWithEndpoints(t, s, 4)
+		for now := testStart; now < testStart+40*second; now += second / 100 {
+			for tenant, tenantRate := range []float64{rate, 0.25, 0.25, 0.25} {
+				if random.Float64() > tenantRate/100 {
+					continue
 				}
+				id, before := fmt.Sprint(now, tenant), len(h.sends)
+				b.HandleRequest(now, h, Request{ID: id, Tenant: tenant, Deadline: now + second})
+				if tenant == 0 {
+					requests++
+					sent += float64(len(h.sends) - before)
+				}
+				succeed(b, h, now, id, 300_000)
 			}
 		}
-		if refused := 1 - sent/asked; refused > c.most || refused < c.least {
-			t.Errorf("at %.2f calls a second and a count of 0.3, %.2f are refused", c.perSecond, refused)
-		}
 	}
+	return 1 - sent/requests
 }
 
 func TestTenantQuotaShedsExcess(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{QuotaFraction: 0.5, RateQuota: 20}, {QuotaFraction: 0.5, RateQuota: 20}}
-	b, h := with(t, s, 4)
+	b, h := newWithEndpoints(t, s, 4)
 	sent := map[int]int{}
 	n := 0
-	for now := start; now < start+4*second; now += second / 100 {
+	for now := testStart; now < testStart+4*second; now += second / 100 {
 		tenant := 0
-		if n++; n%10 == 0 { // tenant 0 asks for 90 a second, tenant 1 for 10
+		if n++; n%10 == 0 { // tenant 0 sends 90 a second, tenant 1 sends 10
 			tenant = 1
 		}
-		before := len(h.sends)
-		id := fmt.Sprint(n)
-		b.HandleRequest(now, h, Request{ID: id, Class: 0, Tenant: tenant, Deadline: now + second})
+		id, before := fmt.Sprint(n), len(h.sends)
+		b.HandleRequest(now, h, Request{ID: id, Tenant: tenant, Deadline: now + second})
 		if len(h.sends) > before {
 			sent[tenant]++
-			b.HandleOutcome(now, h, Outcome{ID: id, Status: OK, Latency: 400_000, RequestDone: true})
+			succeed(b, h, now, id, 400_000)
 		}
 	}
 	if sent[1] != 40 {
-		t.Errorf("the tenant inside its share got %d of 40", sent[1])
+		t.Errorf("%d of 40 requests of the tenant within its quota are sent", sent[1])
 	}
 	if sent[0] > 200 {
-		t.Errorf("the tenant over its share got %d in 4 s, at 20 a second", sent[0])
+		t.Errorf("%d requests of the tenant over its quota are sent in 4 s, at 20 a second", sent[0])
+	}
+}
+
+// pressRounds feeds that many rounds of samples that are all slow, or all fast.
+func pressRounds(b *Balancer, from Microseconds, rounds int, slow bool) {
+	for i := range rounds * minRoundSamples {
+		now := from + Microseconds(i)
+		a := &attempt{class: &b.settings.Classes[0], sentAt: now}
+		b.applyPressure(now, b.classes[0], a, pressure{slow: slow, speed: speedOf(false, !slow)})
 	}
 }
 
 func TestQuotaMultiplierStartsAboveOneAndFallsOnOverload(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{QuotaFraction: 1, RateQuota: 20}}
-	b, h := with(t, s, 8)
-	for i := range 32 { // a second's traffic at 1.6 times the share
-		now, id := start+Microseconds(i)*second/32, fmt.Sprint(i)
-		b.HandleRequest(now, h, Request{ID: id, Deadline: now + second})
-		b.HandleOutcome(now, h, Outcome{ID: id, Status: OK, Latency: 1000, RequestDone: true})
+	b, h := newWithEndpoints(t, s, 8)
+	for i := range 32 { // a second's requests at 1.6 times the quota
+		now, id := testStart+Microseconds(i)*second/32, fmt.Sprint(i)
+		sendRequest(b, h, now, id, idempotentClass)
+		succeed(b, h, now, id, 1000)
 	}
 	if n := len(h.sends); n != 32 {
-		t.Errorf("%d of 32 pass at a fresh copy", n)
+		t.Errorf("%d of 32 are sent at a fresh replica", n)
 	}
 	for i := 0; b.quotas.multiplier > 1; i++ {
 		if i == 10*minRoundSamples {
-			t.Fatalf("share still %v", b.quotas.multiplier)
+			t.Fatalf("the multiplier is still %v", b.quotas.multiplier)
 		}
-		now := start + 2*second + Microseconds(i)
-		b.applyPressure(now, b.classes[0], &attempt{class: &b.settings.Classes[0], sentAt: now}, pressure{slow: true, speed: slowResponse})
+		now := testStart + 2*second + Microseconds(i)
+		a := &attempt{class: &b.settings.Classes[0], sentAt: now}
+		b.applyPressure(now, b.classes[0], a, pressure{slow: true, speed: slowResponse})
 	}
 	if b.quotas.multiplier < minQuotaMultiplier || b.quotas.multiplier >= 1 {
-		t.Errorf("a bad round leaves a share of %v", b.quotas.multiplier)
+		t.Errorf("the multiplier is %v after an overload, want less than 1", b.quotas.multiplier)
 	}
 }
 
 func TestQuotaMultiplierRecoversWithinTwelveRounds(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{QuotaFraction: 1, RateQuota: 20}}
-	b, _ := with(t, s, 8)
+	b, _ := newWithEndpoints(t, s, 8)
 	b.quotas.multiplier = overloadQuotaMultiplier
-	for i := range 12 * minRoundSamples {
-		now := start + Microseconds(i)
-		b.applyPressure(now, b.classes[0], &attempt{class: &b.settings.Classes[0], sentAt: now}, pressure{slow: false, speed: fastResponse})
-	}
+	pressRounds(b, testStart, 12, false)
 	if b.quotas.multiplier != initialQuotaMultiplier {
-		t.Errorf("share %v after a dozen good rounds", b.quotas.multiplier)
+		t.Errorf("the multiplier is %v, want %v", b.quotas.multiplier, initialQuotaMultiplier)
 	}
 }
 
-func TestQuotaMultiplierKeepsQuotaThroughFaults(t *testing.T) {
-	b, _ := with(t, testSettings(), 8)
+// Failures beside calls that are as fast as without load are no evidence of load.
+func TestQuotaMultiplierIsNotCutByFaults(t *testing.T) {
+	b, _ := newWithEndpoints(t, testSettings(), 8)
 	feed := func(from Microseconds, fast bool) {
 		for i := range Microseconds(20 * minRoundSamples) {
-			now := from + i
-			bad := i%3 > 0
-			b.applyPressure(now, b.classes[0], &attempt{class: &b.settings.Classes[0], sentAt: now}, pressure{slow: bad, speed: speedOf(bad && fast, fast)})
+			now, bad := from+i, i%3 > 0
+			a := &attempt{class: &b.settings.Classes[0], sentAt: now}
+			b.applyPressure(now, b.classes[0], a, pressure{slow: bad, speed: speedOf(bad && fast, fast)})
 		}
 	}
-	feed(start, true)
+	feed(testStart, true)
 	if b.quotas.multiplier != overloadQuotaMultiplier {
-		t.Errorf("failures beside fast calls leave a share of %v, want %v", b.quotas.multiplier, overloadQuotaMultiplier)
+		t.Errorf("failures beside fast calls: %v, want %v", b.quotas.multiplier, overloadQuotaMultiplier)
 	}
-	feed(start+second, false)
+	feed(testStart+second, false)
 	if b.quotas.multiplier > 0.5 {
-		t.Errorf("slow calls leave a share of %v", b.quotas.multiplier)
+		t.Errorf("slow calls: %v, want 0.5 or less", b.quotas.multiplier)
 	}
 }
--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -9,7 +9,7 @@
 func TestBalancerKeepsRulesInRandomSequences(t *testing.T) {
 	total := map[string]int{}
 	for seed := range uint64(24) {
-		lines, faults := play(t, seed, 6000, nil)
+		lines, faults := runRandomEvents(t, seed, 6000, nil)
 		for i, f := range faults {
 			if i < 3 {
 				t.Errorf("seed %d: %s", seed, f)
@@ -22,7 +22,7 @@
 			total[what]++
 		}
 	}
-	for _, what := range []string{"send", "refuse", "fail"} {
+	for _, what := range []string{"send", "reject", "fail"} {
 		if total[what] < 1000 {
 			t.Errorf("only %d of action %q: the sequences test too little", total[what], what)
 		}
@@ -31,8 +31,8 @@
 
 func TestBalancerRepeatsActionsForSameEvents(t *testing.T) {
 	for seed := range uint64(4) {
-		one, _ := play(t, seed, 3000, nil)
-		two, _ := play(t, seed, 3000, nil)
+		one, _ := runRandomEvents(t, seed, 3000, nil)
+		two, _ := runRandomEvents(t, seed, 3000, nil)
 		if !slices.Equal(one, two) {
 			t.Errorf("seed %d: two runs differ", seed)
 		}
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -6,207 +6,211 @@
 	"testing"
 )
 
-// TestHandleOutcomeRejectsOnlyWhileRepeatsAreDropped ends requests after an attempt that may have run. A client that is rejected comes again, at the latest when Retry-After
-// is over: by then endpoints must still drop repeats.
+// A client that is rejected comes again, at the latest when Retry-After is over: by then endpoints must still drop
+// repeats of an attempt that may have run.
 func TestHandleOutcomeRejectsOnlyWhileRepeatsAreDropped(t *testing.T) {
 	for _, c := range []struct {
-		class  int
-		status Status
-		after  Microseconds
-		hint   Microseconds // longest
-		want   string
+		class         int
+		status        Status
+		after         Microseconds
+		maxRetryAfter Microseconds
+		want          string
 	}{
-		{0, Error, 900_000, 2_000_000, "refuse r"},
-		{3, Error, 1000, 0, "refuse r"},
-		{3, Error, 1000, 200_000, "refuse r"},
-		{3, Error, 1000, 2_000_000, "refuse r"}, // half of the aim counts
-		{3, Error, 100_000, 200_000, "fail r"},
-		{3, Error, 100_000, 100_000, "refuse r"},
-		{3, Reset, 285_000, 0, "fail r"},
-		{3, Rejected, 900_000, 2_000_000, "refuse r"},
-		{1, Error, 1000, 0, "fail r"},
-		{2, Rejected, 1000, 0, "refuse r"},
+		{idempotentClass, Error, 900_000, 2_000_000, "reject r"},
+		{keyedByTierClass, Error, 1000, 0, "reject r"},
+		{keyedByTierClass, Error, 1000, 200_000, "reject r"},
+		{keyedByTierClass, Error, 1000, 2_000_000, "reject r"}, // half of the objective counts
+		{keyedByTierClass, Error, 100_000, 200_000, "fail r"},
+		{keyedByTierClass, Error, 100_000, 100_000, "reject r"},
+		{keyedByTierClass, Reset, 285_000, 0, "fail r"},
+		{keyedByTierClass, Rejected, 900_000, 2_000_000, "reject r"},
+		{keyedByCellClass, Error, 1000, 0, "fail r"},
+		{notIdempotentClass, Rejected, 1000, 0, "reject r"},
 	} {
-		s := testSettings()
-		s.MaxAttempts, s.MaxRetryAfter = 1, c.hint
-		b, h := with(t, s, 8)
-		ask(b, h, start, "r", c.class)
-		b.HandleOutcome(start+c.after, h, Outcome{ID: "r", Status: c.status, Latency: c.after})
-		if h.last() != c.want {
-			t.Errorf("class %d, status %d after %d, hint %d: got %q", c.class, c.status, c.after, c.hint, h.last())
-		}
+		name := fmt.Sprintf("class %d status %d after %d max %d", c.class, c.status, c.after, c.maxRetryAfter)
+		t.Run(name, func(t *testing.T) {
+			s := testSettings()
+			s.MaxAttempts, s.MaxRetryAfter = 1, c.maxRetryAfter
+			b, h := newWithEndpoints(t, s, 8)
+			sendRequest(b, h, testStart, "r", c.class)
+			b.HandleOutcome(testStart+c.after, h, Outcome{ID: "r", Status: c.status, Latency: c.after})
+			if h.last() != c.want {
+				t.Errorf("got %q, want %q", h.last(), c.want)
+			}
+		})
 	}
 }
 
 func TestHandleOutcomeRetriesWithinIdempotency(t *testing.T) {
+	const (
+		retryAnywhere = "retry"
+		retryInCell   = "retry in the same cell"
+		retryInZone   = "retry in the same zone"
+		fail          = "fail"
+	)
 	for _, c := range []struct {
 		class  int
 		status Status
 		after  Microseconds
-		want   string // of: send anywhere, send to the same cell or zone, fail, refuse
+		want   string
 	}{
-		{0, Error, 1000, "send"},
-		{0, Reset, 1000, "send"},
-		{0, Rejected, 1000, "send"},
-		{1, Rejected, 1000, "send"},
-		{1, Error, 1000, "cell"},
-		{1, Error, 300_000, "fail"}, // the group has forgotten it
-		{2, Rejected, 1000, "send"},
-		{2, ConnectFailed, 1000, "send"},
-		{2, Error, 1000, "fail"},
-		{2, TimedOut, 1000, "fail"},
-		{2, Reset, 1000, "fail"},
-		{3, Error, 1000, "send"},
-		{3, Error, 300_000, "fail"}, // its client would come again when it is forgotten
-		{4, Error, 1000, "zone"},
-		{4, Error, 300_000, "fail"},
+		{idempotentClass, Error, 1000, retryAnywhere},
+		{idempotentClass, Reset, 1000, retryAnywhere},
+		{idempotentClass, Rejected, 1000, retryAnywhere},
+		{keyedByCellClass, Rejected, 1000, retryAnywhere},
+		{keyedByCellClass, Error, 1000, retryInCell},
+		{keyedByCellClass, Error, 300_000, fail}, // the dedup window is over
+		{notIdempotentClass, Rejected, 1000, retryAnywhere},
+		{notIdempotentClass, ConnectFailed, 1000, retryAnywhere},
+		{notIdempotentClass, Error, 1000, fail},
+		{notIdempotentClass, TimedOut, 1000, fail},
+		{notIdempotentClass, Reset, 1000, fail},
+		{keyedByTierClass, Error, 1000, retryAnywhere},
+		{keyedByTierClass, Error, 300_000, fail}, // the client would come again after the window
+		{keyedByZoneClass, Error, 1000, retryInZone},
+		{keyedByZoneClass, Error, 300_000, fail},
 	} {
-		b, h := with(t, testSettings(), 8)
-		where := map[string]Endpoint{}
-		for _, s := range fleet(8) {
-			where[s.ID] = s
-		}
-		ask(b, h, start, "r", c.class)
-		b.HandleOutcome(start+c.after, h, Outcome{ID: "r", Status: c.status, Latency: c.after})
-		name := fmt.Sprintf("class %d after status %d at %d", c.class, c.status, c.after)
-		switch c.want {
-		case "fail", "refuse":
-			if h.last() != c.want+" r" {
-				t.Errorf("%s: got %q, want %s", name, h.last(), c.want)
+		t.Run(fmt.Sprintf("class %d status %d after %d", c.class, c.status, c.after), func(t *testing.T) {
+			b, h := newWithEndpoints(t, testSettings(), 8)
+			sendRequest(b, h, testStart, "r", c.class)
+			b.HandleOutcome(testStart+c.after, h, Outcome{ID: "r", Status: c.status, Latency: c.after})
+			if c.want == fail {
+				if h.last() != "fail r" {
+					t.Errorf("got %q, want a failure", h.last())
+				}
+				return
 			}
-			continue
-		}
-		if len(h.sends) != 2 {
-			t.Errorf("%s: no further attempt but %q", name, h.last())
-			continue
-		}
-		one, two := where[h.sends[0].server], where[h.sends[1].server]
-		if c.want == "cell" && one.Cell != two.Cell || c.want == "zone" && one.Zone != two.Zone {
-			t.Errorf("%s: sent from %v to %v", name, one, two)
-		}
+			if len(h.sends) != 2 {
+				t.Fatalf("got %q, want a retry", h.last())
+			}
+			first, second := b.endpoints.byID[h.sends[0].endpoint], b.endpoints.byID[h.sends[1].endpoint]
+			if c.want == retryInCell && first.Cell != second.Cell || c.want == retryInZone && first.Zone != second.Zone {
+				t.Errorf("retried from %v at %v, want to %s", first.Endpoint, second.Endpoint, c.want)
+			}
+		})
 	}
 }
 
-// TestHandleOutcomeTakesRejectedAsMayHaveRun sets RejectedMayRun: a rejected attempt may bring neither a retry outside the dedup scope nor a rejection.
-func TestHandleOutcomeTakesRejectedAsMayHaveRun(t *testing.T) {
+func TestHandleOutcomeTakesRejectedAsMayHaveRunWhereSet(t *testing.T) {
 	s := testSettings()
 	s.RejectedMayRun = true
-	b, h := with(t, s, 8)
-	ask(b, h, start, "unsafe", 2)
-	b.HandleOutcome(start+1000, h, Outcome{ID: "unsafe", Status: Rejected, Latency: 1000})
+	b, h := newWithEndpoints(t, s, 8)
+	sendRequest(b, h, testStart, "unsafe", notIdempotentClass)
+	b.HandleOutcome(testStart+1000, h, Outcome{ID: "unsafe", Status: Rejected, Latency: 1000})
 	if len(h.sends) != 1 || h.last() != "fail unsafe" {
-		t.Errorf("an unsafe request that was turned away: %q", h.lines)
+		t.Errorf("a rejected request that is not idempotent: %q, want a failure", h.actions)
+	}
+	sendRequest(b, h, testStart+2000, "keyed", keyedByCellClass)
+	b.HandleOutcome(testStart+3000, h, Outcome{ID: "keyed", Status: Rejected, Latency: 1000})
+	if len(h.sends) != 3 {
+		t.Fatalf("a rejected request with a key: %q, want a retry", h.actions)
 	}
-	ask(b, h, start+2000, "keyed", 1)
-	b.HandleOutcome(start+3000, h, Outcome{ID: "keyed", Status: Rejected, Latency: 1000})
-	if len(h.sends) != 3 || b.endpoints.byID[h.sends[1].server].Cell != b.endpoints.byID[h.sends[2].server].Cell {
-		t.Errorf("a keyed request that was turned away left its group: %q", h.lines)
+	first, second := b.endpoints.byID[h.sends[1].endpoint], b.endpoints.byID[h.sends[2].endpoint]
+	if first.Cell != second.Cell {
+		t.Errorf("a rejected request with a key left its cell: %q", h.actions)
 	}
 }
 
-// TestRetryBudgetForgetsOldRequests makes no retry, which must not keep the times of requests for ever.
+// Without retries the times of requests must not be kept for ever.
 func TestRetryBudgetForgetsOldRequests(t *testing.T) {
-	b, h := with(t, testSettings(), 4)
+	b, h := newWithEndpoints(t, testSettings(), 4)
 	for i := range Microseconds(1000) {
-		now, id := start+i*second, fmt.Sprint(i)
-		ask(b, h, now, id, 0)
-		b.HandleOutcome(now, h, Outcome{ID: id, Status: OK, Latency: 1000, RequestDone: true})
+		now, id := testStart+i*second, fmt.Sprint(i)
+		sendRequest(b, h, now, id, idempotentClass)
+		succeed(b, h, now, id, 1000)
 	}
 	if most := int(defaultRetryBudgetWindow/second) + 1; len(b.retries.requests) > most {
-		t.Errorf("%d times of requests are kept, %d are needed", len(b.retries.requests), most)
+		t.Errorf("%d times of requests are kept, want at most %d", len(b.retries.requests), most)
 	}
 }
 
-// TestRetryBudgetHoldsInAnyWindow fails everything after a long calm: no allowance that was saved up meanwhile lets retries exceed the stated budget.
+// A long calm must not save up an allowance for the time when everything fails.
 func TestRetryBudgetHoldsInAnyWindow(t *testing.T) {
 	s := testSettings()
 	s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = 5*second, 3, 0.05
-	b, h := with(t, s, 8)
-	var taken, further timeline
+	b, h := newWithEndpoints(t, s, 8)
+	var requests, retries timeline
 	for i := range Microseconds(2000) {
-		now, id := start+i*20_000, fmt.Sprint(i)
+		now, id := testStart+i*20_000, fmt.Sprint(i)
 		before := len(h.sends)
-		ask(b, h, now, id, 0)
-		taken = append(taken, now)
-		status := OK // a long calm, then everything fails
+		sendRequest(b, h, now, id, idempotentClass)
+		requests = append(requests, now)
+		status := OK
 		if i > 1000 {
 			status = Error
 		}
-		for k := 0; len(h.sends) > before+k; k++ {
-			if k > 0 {
-				further = append(further, now)
+		for n := 0; len(h.sends) > before+n; n++ {
+			if n > 0 {
+				retries = append(retries, now)
 			}
-			b.HandleOutcome(now, h, Outcome{ID: id, Attempt: k, Status: status, Latency: 1000, RequestDone: status == OK})
+			b.HandleOutcome(now, h, Outcome{ID: id, Attempt: n, Status: status, Latency: 1000, RequestDone: status == OK})
 		}
-		if n, m := further.since(now-5*second), taken.since(now-5*second+1); n > 3+0.05*m {
-			t.Fatalf("at %d: %v further attempts where %v requests were taken", now-start, n, m)
+		made, taken := retries.since(now-5*second), requests.since(now-5*second+1)
+		if made > 3+0.05*taken {
+			t.Fatalf("at %d: %v retries for %v requests", now-testStart, made, taken)
 		}
 	}
-	if len(further) == 0 {
-		t.Error("no further attempt was made")
+	if len(retries) == 0 {
+		t.Error("no retry was made")
 	}
 }
 
 func TestRetryKeepsDefaultBudget(t *testing.T) {
-	b, h := with(t, testSettings(), 4)
+	b, h := newWithEndpoints(t, testSettings(), 4)
 	b.tierLimit.floor, b.tierLimit.max = 1e9, 1e9
-	const n = 400
-	for i := range n {
+	const requests = 400
+	for i := range requests {
 		id := fmt.Sprint(i)
-		now := start + Microseconds(i)*1000
+		now := testStart + Microseconds(i)*1000
 		before := len(h.sends)
-		ask(b, h, now, id, 0)
-		for k := 0; len(h.sends) > before+k; k++ {
-			b.HandleOutcome(now, h, Outcome{ID: id, Attempt: k, Status: Error, Latency: 1000})
+		sendRequest(b, h, now, id, idempotentClass)
+		for n := 0; len(h.sends) > before+n; n++ {
+			b.HandleOutcome(now, h, Outcome{ID: id, Attempt: n, Status: Error, Latency: 1000})
 		}
 	}
-	firsts := 0
-	seen := map[string]bool{}
+	sent := map[string]bool{}
 	for _, s := range h.sends {
-		if !seen[s.id] {
-			firsts++
-			seen[s.id] = true
-		}
+		sent[s.id] = true
 	}
-	if extra := len(h.sends) - firsts; extra == 0 || float64(extra) > defaultRetryBudgetMin+defaultRetryBudgetRatio*float64(n) {
-		t.Errorf("%d further attempts on %d first ones", extra, firsts)
+	most := defaultRetryBudgetMin + defaultRetryBudgetRatio*float64(requests)
+	if retries := len(h.sends) - len(sent); retries == 0 || float64(retries) > most {
+		t.Errorf("%d retries of %d requests, want some and at most %v", retries, len(sent), most)
 	}
 }
 
-// TestRejectKeepsRetryAfterWithinObjective checks that a client which heeds Retry-After can still have a timely answer.
-func TestRejectKeepsRetryAfterWithinObjective(t *testing.T) {
+// A client that heeds Retry-After must still be able to get a timely answer.
+func TestRejectKeepsRetryAfterWithinHalfTheObjective(t *testing.T) {
 	s := testSettings()
 	s.MaxRetryAfter = 2 * second
-	b, h := with(t, s, 0) // no server: all is refused
+	b, h := newWithEndpoints(t, s, 0)
 	for i := range 100 {
-		b.HandleRequest(start, h, Request{ID: fmt.Sprint(i), Deadline: start + second})
+		sendRequest(b, h, testStart, fmt.Sprint(i), idempotentClass)
 	}
-	most := s.Classes[0].LatencyObjective / 2
-	if len(h.hints) != 100 || slices.Min(h.hints) < most/2 || slices.Max(h.hints) > most {
-		t.Errorf("hints %v, want %d to %d", h.hints, most/2, most)
+	most := s.Classes[idempotentClass].LatencyObjective / 2
+	if len(h.retryAfters) != 100 || slices.Min(h.retryAfters) < most/2 || slices.Max(h.retryAfters) > most {
+		t.Errorf("Retry-After %v, want 100 from %d to %d", h.retryAfters, most/2, most)
 	}
 }
 
-// TestReconfigureCountsEarlierRetriesInLongerBudget checks that a longer window of the budget counts the retries from before it was in force.
 func TestReconfigureCountsEarlierRetriesInLongerBudget(t *testing.T) {
 	s := named(testSettings())
 	s.RetryBudgetWindow, s.RetryBudgetMin = second, 1
-	b, h := with(t, s, 4)
-	fail := func(now Microseconds, id string) (sends int) {
-		ask(b, h, now, id, 0)
-		n := len(h.sends)
+	b, h := newWithEndpoints(t, s, 4)
+	retries := func(now Microseconds, id string) int {
+		sendRequest(b, h, now, id, idempotentClass)
+		before := len(h.sends)
 		b.HandleOutcome(now+1, h, Outcome{ID: id, Status: Error, Latency: 1})
-		return len(h.sends) - n
+		return len(h.sends) - before
 	}
-	if fail(start, "a") != 1 || fail(start+2*second, "b") != 1 {
-		t.Fatal("the budget of one in a second is not given")
+	if retries(testStart, "a") != 1 || retries(testStart+2*second, "b") != 1 {
+		t.Fatal("no retry within the budget of one a second")
 	}
 	s.RetryBudgetWindow = 30 * second
 	mustReconfigure(t, b, s)
-	if fail(start+20*second, "c") != 0 {
-		t.Error("a second one in 30 s")
+	if retries(testStart+20*second, "c") != 0 {
+		t.Error("a second retry within 30 s")
 	}
-	if fail(start+40*second, "d") != 1 {
-		t.Error("none after 30 s")
+	if retries(testStart+40*second, "d") != 1 {
+		t.Error("no retry after 30 s")
 	}
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -8,97 +8,115 @@
 func TestPickEndpointKeepsSlowStartBelowCapacity(t *testing.T) {
 	s := testSettings()
 	b, h := mustNew(t, s), &recorder{}
-	list := fleet(2)
-	list[1].StartedAt = start - 1
-	b.UpdateEndpoints(start, h, FullUpdate, list)
-	got := 0
-	const n = 4000
-	for i := range n {
-		ask(b, h, start+Microseconds(i), fmt.Sprint(i), 0)
-		b.HandleOutcome(start+Microseconds(i), h, Outcome{ID: fmt.Sprint(i), Status: OK, Latency: 1000, RequestDone: true})
+	list := readyEndpoints(2)
+	list[1].StartedAt = testStart - 1
+	b.UpdateEndpoints(testStart, h, FullUpdate, list)
+	for i := range 4000 {
+		now, id := testStart+Microseconds(i), fmt.Sprint(i)
+		sendRequest(b, h, now, id, idempotentClass)
+		succeed(b, h, now, id, 1000)
 	}
+	warming := 0
 	for _, s := range h.sends {
-		if s.server == "s1" {
-			got++
+		if s.endpoint == "s1" {
+			warming++
 		}
 	}
-	part := float64(got) / float64(len(h.sends)-got)
-	if part > s.SlowStartCapacity || part == 0 {
-		t.Errorf("a cold server got %.3f of a warm one's calls, capacity is %.3f", part, s.SlowStartCapacity)
+	ratio := float64(warming) / float64(len(h.sends)-warming)
+	if ratio > s.SlowStartCapacity || ratio == 0 {
+		t.Errorf("an endpoint in slow start got %.3f of a warm one's calls, its capacity is %.3f", ratio, s.SlowStartCapacity)
 	}
-	if w := b.settings.slowStartFactor(start+s.SlowStartDuration, b.endpoints.byID["s1"]); w != 1 {
-		t.Errorf("a server past its warming time has warmth %v", w)
+	if f := b.settings.slowStartFactor(testStart+s.SlowStartDuration, b.endpoints.byID["s1"]); f != 1 {
+		t.Errorf("the factor after slow start is %v, want 1", f)
 	}
 }
 
-// TestAttachBeginsSlowStart checks that an attached endpoint, which may have restarted unnoticed, is warming up and loses what was learned.
+// The endpoint may have restarted unnoticed while it was detached.
 func TestAttachBeginsSlowStart(t *testing.T) {
-	b, _ := with(t, testSettings(), 4)
-	s := b.endpoints.byID["s1"]
+	b, _ := newWithEndpoints(t, testSettings(), 4)
+	ep := b.endpoints.byID["s1"]
 	b.Detach("s1")
-	s.overall.factor = minHealth // what was learned of the process before
-	b.Attach(start, "s1")
-	if w := b.settings.slowStartFactor(start, s); w != slowStartMargin*b.settings.SlowStartCapacity {
-		t.Errorf("its warmth is %v", w)
+	ep.overall.factor = minHealth // of the process before
+	b.Attach(testStart, "s1")
+	if f := b.settings.slowStartFactor(testStart, ep); f != slowStartMargin*b.settings.SlowStartCapacity {
+		t.Errorf("the factor is %v at first", f)
 	}
-	if s.overall.factor != 1 {
-		t.Errorf("its health is %v", s.overall.factor)
+	if ep.overall.factor != 1 {
+		t.Errorf("the health is %v, want 1", ep.overall.factor)
 	}
-	if w := b.settings.slowStartFactor(start+b.settings.SlowStartDuration, s); w != 1 {
-		t.Errorf("later its warmth is %v", w)
+	warm := testStart + b.settings.SlowStartDuration
+	if f := b.settings.slowStartFactor(warm, ep); f != 1 {
+		t.Errorf("the factor is %v after slow start, want 1", f)
 	}
-	b.Attach(start+b.settings.SlowStartDuration, "s1") // harmless: it was in use all along
-	if w := b.settings.slowStartFactor(start+b.settings.SlowStartDuration, s); w != 1 {
-		t.Errorf("after a repeated call its warmth is %v", w)
+	b.Attach(warm, "s1")
+	if f := b.settings.slowStartFactor(warm, ep); f != 1 {
+		t.Errorf("the factor is %v after a repeated Attach, want 1", f)
 	}
 }
 
-// TestAttachGivesFirstCallSoon attaches an endpoint in another zone: it gets one call soon all the same, and then what slow start allows.
+// An endpoint in another zone, outside this replica's subset, gets one call soon all the same, and then what slow
+// start allows.
 func TestAttachGivesFirstCallSoon(t *testing.T) {
-	set := testSettings()
-	set.Tier = 1 // other zones weigh little here
-	b, _ := with(t, set, 16)
-	drawn(b, start, 400)
-	last := b.endpoints.ready[len(b.endpoints.ready)-1]
-	for _, s := range b.endpoints.ready {
-		if s.Zone != set.Zone {
-			last = s
+	s := testSettings()
+	s.Tier = 1 // where other zones weigh little
+	b, _ := newWithEndpoints(t, s, 16)
+	countSends(b, testStart, 400)
+	attached := b.endpoints.ready[len(b.endpoints.ready)-1]
+	for _, ep := range b.endpoints.ready {
+		if ep.Zone != s.Zone {
+			attached = ep
 		}
 	}
-	b.Detach(last.ID)
-	b.Attach(start, last.ID)
-	if got := drawn(b, start, 60); got[last.ID] == 0 {
-		t.Errorf("it got nothing of 60 calls: %v", got)
+	b.Detach(attached.ID)
+	b.Attach(testStart, attached.ID)
+	if counts := countSends(b, testStart, 60); counts[attached.ID] == 0 {
+		t.Errorf("no attempt among 60: %v", counts)
 	}
+
 	h := &recorder{}
-	for _, first := range []func(){func() { b.Attach(start, last.ID) }, func() { // back before any list names it
-		b.UpdateEndpoints(start, h, IncrementalUpdate, []Endpoint{{ID: last.ID}})
-		b.Attach(start, last.ID)
-		b.UpdateEndpoints(start, h, IncrementalUpdate, []Endpoint{{ID: last.ID, Zone: last.Zone, State: Ready, Capacity: 1}})
-	}} {
-		b.Detach(last.ID)
-		first()
-		tries := 0
-		for i := range 200 { // and one that could not be reached is owed its call still
-			n := len(h.sends)
-			if ask(b, h, start, fmt.Sprint("t", i), 0); len(h.sends) == n {
-				continue
+	for _, c := range []struct {
+		name   string
+		attach func()
+	}{
+		{"listed", func() { b.Attach(testStart, attached.ID) }},
+		{"attached before it is listed", func() {
+			b.UpdateEndpoints(testStart, h, IncrementalUpdate, []Endpoint{{ID: attached.ID}})
+			b.Attach(testStart, attached.ID)
+			b.UpdateEndpoints(testStart, h, IncrementalUpdate, []Endpoint{
+				{ID: attached.ID, Zone: attached.Zone, State: Ready, Capacity: 1}})
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b.Detach(attached.ID)
+			c.attach()
+			if attempts := failFirstTwo(b, h, attached.ID); attempts < 3 {
+				t.Errorf("%d attempts, two of which could not connect; want one more", attempts)
 			}
-			status := OK
-			if h.sends[n].server == last.ID && tries < 2 {
+		})
+	}
+	ep := b.endpoints.byID[attached.ID]
+	if weight := b.weight(testStart, ep, b.classes[0]); ep.reintroductionPending || weight >= slowStartMargin {
+		t.Errorf("after the first call: pending %v, weight %v", ep.reintroductionPending, weight)
+	}
+}
+
+// failFirstTwo has 200 requests arrive, fails to connect the first two attempts at an endpoint, and returns how many
+// it got.
+func failFirstTwo(b *Balancer, h *recorder, endpoint string) int {
+	attempts := 0
+	for i := range 200 {
+		id, before := fmt.Sprint("t", i), len(h.sends)
+		if sendRequest(b, h, testStart, id, idempotentClass); len(h.sends) == before {
+			continue
+		}
+		status := OK
+		if h.sends[before].endpoint == endpoint {
+			if attempts < 2 {
 				status = ConnectFailed
 			}
-			if h.sends[n].server == last.ID {
-				tries++
-			}
-			b.HandleOutcome(start+1000, h, Outcome{ID: fmt.Sprint("t", i), Status: status, Latency: 1000, RequestDone: true})
+			attempts++
 		}
-		if tries < 3 {
-			t.Errorf("%d calls went there, two of them in vain", tries)
-		}
-	}
-	last = b.endpoints.byID[last.ID]
-	if last.reintroductionPending || b.weight(start, last, b.classes[0]) >= slowStartMargin {
-		t.Errorf("after its first call: owed %v, weighs %v", last.reintroductionPending, b.weight(start, last, b.classes[0]))
+		b.HandleOutcome(testStart+1000, h, Outcome{ID: id, Status: status, Latency: 1000, RequestDone: true})
 	}
+	return attempts
 }
--- a/balancer/streaming_test.go
+++ b/balancer/streaming_test.go
@@ -1,50 +1,66 @@
 package balancer
 
 import (
+	"fmt"
 	"testing"
 )
 
-// TestRequestUploadedBeginsCallInFlight checks that a streamed request counts neither as in flight nor by its time before its last byte has been sent.
+// checkInFlight checks the calls in flight of the tier and of the first class.
+func checkInFlight(t *testing.T, b *Balancer, want int) {
+	t.Helper()
+	if tier, class := b.tierLimit.inFlight, b.classes[0].limit.inFlight; tier != want || class != want {
+		t.Errorf("%d calls in flight in the tier and %d in the class, want %d", tier, class, want)
+	}
+}
+
+// An endpoint cannot begin before the last byte: until then a streamed request is not in flight, and what its client
+// takes to write it does not count as latency.
 func TestRequestUploadedBeginsCallInFlight(t *testing.T) {
-	b, h := with(t, testSettings(), 2)
-	b.HandleRequest(start, h, Request{ID: "r", Class: 0, Deadline: start + 1_000_000, Streaming: true})
-	if len(h.sends) != 1 || b.tierLimit.inFlight != 0 || b.classes[0].limit.inFlight != 0 {
-		t.Fatalf("%d sends, %d calls in flight", len(h.sends), b.tierLimit.inFlight)
+	b, h := newWithEndpoints(t, testSettings(), 2)
+	b.HandleRequest(testStart, h, Request{ID: "r", Deadline: testStart + second, Streaming: true})
+	if len(h.sends) != 1 {
+		t.Fatalf("%d sends, want 1", len(h.sends))
 	}
-	late := start + 10_000_000
-	ask(b, h, late, "other", 0) // looks for slow calls
+	checkInFlight(t, b, 0)
+	late := testStart + 10*second
+	sendRequest(b, h, late, "other", idempotentClass) // marks slow attempts
 	if b.quotas.evidence.bad != 0 {
 		t.Error("the upload counts as slow")
 	}
-	b.RequestUploaded(late, "r", late+1_000_000)
-	b.RequestUploaded(late, "r", late+1_000_000)
-	b.RequestUploaded(late, "nobody", late)
-	if b.tierLimit.inFlight != 2 || b.classes[0].limit.inFlight != 2 {
-		t.Errorf("%d calls in flight", b.tierLimit.inFlight)
+	b.RequestUploaded(late, "r", late+second)
+	b.RequestUploaded(late, "r", late+second)
+	b.RequestUploaded(late, "unknown", late)
+	checkInFlight(t, b, 2)
+	succeed(b, h, late+1000, "r", 1000)
+	checkInFlight(t, b, 1)
+	if b.tierLimit.evidence.bad != 0 || b.requests["r"] != nil {
+		t.Errorf("after the answer: %d late, request kept: %v", b.tierLimit.evidence.bad, b.requests["r"] != nil)
 	}
-	b.HandleOutcome(late+1000, h, Outcome{ID: "r", Status: OK, Latency: 1000, RequestDone: true})
-	if b.tierLimit.inFlight != 1 || b.tierLimit.evidence.bad != 0 || b.requests["r"] != nil {
-		t.Errorf("%d calls in flight, %d late", b.tierLimit.inFlight, b.tierLimit.evidence.bad)
-	}
-	b.HandleRequest(late, h, Request{ID: "s", Class: 0, Deadline: late + 1_000_000, Streaming: true})
+	b.HandleRequest(late, h, Request{ID: "s", Deadline: late + second, Streaming: true})
 	b.HandleOutcome(late+1000, h, Outcome{ID: "s", Status: NotAttempted, RequestDone: true})
-	if b.tierLimit.inFlight != 1 {
-		t.Errorf("an upload that broke off: %d calls in flight", b.tierLimit.inFlight)
-	}
+	checkInFlight(t, b, 1) // an upload that broke off was none
 }
 
-// TestHandleOutcomeDoesNotRetryConsumedBody rejects a request that cannot be sent again where nothing has run, and fails it otherwise.
+// A request that cannot be sent again is rejected where nothing has run or its class allows it, and fails otherwise.
 func TestHandleOutcomeDoesNotRetryConsumedBody(t *testing.T) {
 	for _, c := range []struct {
 		class  int
 		status Status
 		want   string
-	}{{0, ConnectFailed, "refuse r"}, {2, Rejected, "refuse r"}, {0, Reset, "refuse r"}, {2, Reset, "fail r"}, {2, TimedOut, "fail r"}} {
-		b, h := with(t, testSettings(), 4)
-		b.HandleRequest(start, h, Request{ID: "r", Class: c.class, Deadline: start + 1_000_000, Streaming: true})
-		b.HandleOutcome(start+1000, h, Outcome{ID: "r", Status: c.status, BodyConsumed: true})
-		if len(h.sends) != 1 || h.last() != c.want {
-			t.Errorf("class %d, status %d: %d sends, then %q", c.class, c.status, len(h.sends), h.last())
-		}
+	}{
+		{idempotentClass, ConnectFailed, "reject r"},
+		{notIdempotentClass, Rejected, "reject r"},
+		{idempotentClass, Reset, "reject r"},
+		{notIdempotentClass, Reset, "fail r"},
+		{notIdempotentClass, TimedOut, "fail r"},
+	} {
+		t.Run(fmt.Sprintf("class %d status %d", c.class, c.status), func(t *testing.T) {
+			b, h := newWithEndpoints(t, testSettings(), 4)
+			b.HandleRequest(testStart, h, Request{ID: "r", Class: c.class, Deadline: testStart + second, Streaming: true})
+			b.HandleOutcome(testStart+1000, h, Outcome{ID: "r", Status: c.status, BodyConsumed: true})
+			if len(h.sends) != 1 || h.last() != c.want {
+				t.Errorf("%d sends, then %q, want 1 and %q", len(h.sends), h.last(), c.want)
+			}
+		})
 	}
 }
--- a/balancer/subscription_test.go
+++ b/balancer/subscription_test.go
@@ -1,42 +1,40 @@
 package balancer
 
-import (
-	"testing"
-)
+import "testing"
 
 func TestSubscriptionRetriesAfterFailure(t *testing.T) {
 	s := testSettings()
 	s.SubscribeRequired, s.MaxPollInterval = true, 10*second
-	b, h := with(t, s, 2)
-	if h.watch != 1 {
-		t.Fatalf("watched %d times after the first list", h.watch)
+	b, h := newWithEndpoints(t, s, 2)
+	if h.subscriptions != 1 {
+		t.Fatalf("%d subscriptions after the first update, want 1", h.subscriptions)
 	}
-	b.UpdateEndpoints(start, h, FailedUpdate, nil)
-	if len(h.timer) != 1 {
-		t.Fatalf("%d timers after a failure", len(h.timer))
+	b.UpdateEndpoints(testStart, h, FailedUpdate, nil)
+	if len(h.timerTokens) != 1 {
+		t.Fatalf("%d timers after a failure, want 1", len(h.timerTokens))
 	}
-	b.UpdateEndpoints(start, h, FailedUpdate, nil) // the broken subscription and the failed call are told one by one
-	if len(h.timer) != 1 {
-		t.Errorf("%d timers after the same failure was told twice", len(h.timer))
+	b.UpdateEndpoints(testStart, h, FailedUpdate, nil) // subscription and poll fail one by one
+	if len(h.timerTokens) != 1 {
+		t.Errorf("%d timers after the same failure again, want 1", len(h.timerTokens))
 	}
-	b.TimerFired(start+second, h, h.timer[0])
-	b.TimerFired(start+second, h, h.timer[0])
-	if h.watch != 2 {
-		t.Errorf("watched %d times after the timer", h.watch)
+	b.TimerFired(testStart+second, h, h.timerTokens[0])
+	b.TimerFired(testStart+second, h, h.timerTokens[0])
+	if h.subscriptions != 2 {
+		t.Errorf("%d subscriptions after the timer, want 2", h.subscriptions)
 	}
 }
 
-// TestSubscriptionBackoffIsBounded fails many subscriptions in a row: a long backoff would delay changes of the list.
+// A long backoff would delay changes of the list.
 func TestSubscriptionBackoffIsBounded(t *testing.T) {
 	s := testSettings()
 	s.SubscribeRequired, s.MaxPollInterval = true, 24*second
-	b, h := with(t, s, 2)
+	b, h := newWithEndpoints(t, s, 2)
 	for range 20 {
-		h.delays = nil
-		b.UpdateEndpoints(start, h, FailedUpdate, nil)
-		if len(h.delays) != 1 || h.delays[0] > 2*second {
-			t.Fatalf("rests %v", h.delays)
+		h.timerDelays = nil
+		b.UpdateEndpoints(testStart, h, FailedUpdate, nil)
+		if len(h.timerDelays) != 1 || h.timerDelays[0] > 2*second {
+			t.Fatalf("backoffs %v, want one of at most 2 s", h.timerDelays)
 		}
-		b.TimerFired(start, h, timerToken{kind: subscribeTimer}.String())
+		b.TimerFired(testStart, h, timerToken{kind: subscribeTimer}.String())
 	}
 }
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -5,59 +5,59 @@
 	"testing"
 )
 
+// usedEndpoints has requests arrive and succeed, and returns which endpoints they were sent to.
+func usedEndpoints(b *Balancer, h *recorder, requests int, arrival func(i int) Microseconds, latency Microseconds) map[string]bool {
+	for i := range requests {
+		now, id := testStart+arrival(i), fmt.Sprint(i)
+		sendRequest(b, h, now, id, idempotentClass)
+		succeed(b, h, now, id, latency)
+	}
+	used := map[string]bool{}
+	for _, s := range h.sends {
+		used[s.endpoint] = true
+	}
+	return used
+}
+
 func TestSubsetsAreSmallAndCoverAllEndpoints(t *testing.T) {
-	const copies, servers = 60, 90
-	users := map[string]int{}
-	for i := range copies {
+	const replicas, endpoints = 60, 90
+	covered := map[string]bool{}
+	for i := range replicas {
 		s := testSettings()
-		s.Replicas, s.ReplicaIndex = copies, i
-		b, h := with(t, s, servers)
-		met := map[string]bool{}
-		for k := range 400 {
-			now := start + Microseconds(k)*50_000 // 20 a second
-			ask(b, h, now, fmt.Sprint(k), 0)
-			b.HandleOutcome(now, h, Outcome{ID: fmt.Sprint(k), Status: OK, Latency: 1000, RequestDone: true})
+		s.Replicas, s.ReplicaIndex = replicas, i
+		b, h := newWithEndpoints(t, s, endpoints)
+		at20PerSecond := func(i int) Microseconds { return Microseconds(i) * second / 20 }
+		used := usedEndpoints(b, h, 400, at20PerSecond, 1000)
+		if len(used) > endpoints/3 {
+			t.Fatalf("replica %d uses %d endpoints, want at most a third", i, len(used))
 		}
-		for _, s := range h.sends {
-			met[s.server] = true
-		}
-		if len(met) > servers/3 {
-			t.Fatalf("copy %d met %d servers", i, len(met))
-		}
-		for s := range met {
-			users[s]++
+		for id := range used {
+			covered[id] = true
 		}
 	}
-	if len(users) != servers {
-		t.Errorf("%d of %d servers are in some subset", len(users), servers)
+	if len(covered) != endpoints {
+		t.Errorf("%d of %d endpoints are in a subset", len(covered), endpoints)
 	}
 }
 
+// A replica with little traffic must meet each of its endpoints often enough to know it.
 func TestSubsetFollowsRequestRate(t *testing.T) {
-	b, h := with(t, testSettings(), 60)
-	met := map[string]int{}
-	for k := range 240 {
-		now := start + Microseconds(k)*second/3 // 3 a second
-		ask(b, h, now, fmt.Sprint(k), 0)
-		b.HandleOutcome(now, h, Outcome{ID: fmt.Sprint(k), Status: OK, Latency: 300_000, RequestDone: true})
-	}
-	for _, s := range h.sends {
-		met[s.server]++
-	}
-	if len(met) > 8 || len(met) < 4 {
-		t.Errorf("3 calls a second are spread over %d servers", len(met))
+	b, h := newWithEndpoints(t, testSettings(), 60)
+	at3PerSecond := func(i int) Microseconds { return Microseconds(i) * second / 3 }
+	if used := usedEndpoints(b, h, 240, at3PerSecond, 300_000); len(used) > 8 || len(used) < 4 {
+		t.Errorf("3 requests a second use %d endpoints, want 4 to 8", len(used))
 	}
 }
 
 func TestReconfigureMovesSubsetWithReplicaIndex(t *testing.T) {
 	s := named(testSettings())
-	b, _ := with(t, s, 8)
+	b, _ := newWithEndpoints(t, s, 8)
 	s.ReplicaIndex = 1
-	fresh, _ := with(t, s, 8)
+	fresh, _ := newWithEndpoints(t, s, 8)
 	mustReconfigure(t, b, s)
-	for i := range b.endpoints.ready {
-		if b.endpoints.ready[i].ID != fresh.endpoints.ready[i].ID {
-			t.Fatalf("server %d is %s, where a fresh copy has %s", i, b.endpoints.ready[i].ID, fresh.endpoints.ready[i].ID)
+	for i, ep := range b.endpoints.ready {
+		if want := fresh.endpoints.ready[i].ID; ep.ID != want {
+			t.Fatalf("endpoint %d is %s, want %s as at a fresh replica", i, ep.ID, want)
 		}
 	}
 }
