--- a/balancer/driver_test.go
+++ b/balancer/driver_test.go
@@ -176,7 +176,7 @@
 		d.completeUpdate(FullUpdate)
 	case x < 942:
 		d.balancer.UpdateEndpoints(d.now, d.checker, FailedUpdate, nil)
-	case x < 960 && len(d.checker.timers) > 0: // a stale replica of a timer
+	case x < 960 && len(d.checker.timers) > 0: // a timer that may have fired already
 		d.balancer.TimerFired(d.now, d.checker, timerToken{kind: subscribeTimer}.String())
 	case x < 975:
 		d.cancel()
