--- a/internal/proxy/console_test.go
+++ b/internal/proxy/console_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"baylock/internal/admin"
 	"baylock/internal/config"
 	"baylock/internal/discovery"
 	"baylock/internal/settings"
@@ -111,7 +112,7 @@
 		{"POST /_backends/detach", "nobody", 404},
 		{"POST /_backends/detach", "a b", 404},
 		{"POST /_backends/detach", "\x00\xff", 404},
-		{"POST /_backends/detach", strings.Repeat("a", adminMaxBodyBytes+1), 413},
+		{"POST /_backends/detach", strings.Repeat("a", admin.MaxBodyBytes+1), 413},
 		{"POST /_backends/attach", "nobody", 404},
 		{"POST /_backends/attach", "a", 200}, // it is not detached
 		{"POST /_backends/detach", "a", 200},
@@ -152,7 +153,7 @@
 // Connections without a complete call delay no other caller beyond its second, and their number is bounded.
 func TestConsoleAnswersInTimeDespiteSilentConnections(t *testing.T) {
 	p, _, _ := operated(t)
-	for i := range 4 * adminMaxConnections {
+	for i := range 4 * admin.MaxConnections {
 		c := dial(t, p.ConsoleAddr())
 		switch i % 3 {
 		case 1:
@@ -169,7 +170,7 @@
 		if took := time.Since(start); took > time.Second {
 			t.Errorf("answered after %v", took)
 		}
-		if n := p.console.connections.Stats().Open; n > adminMaxConnections {
+		if n := p.console.OpenConnections(); n > admin.MaxConnections {
 			t.Errorf("%d connections", n)
 		}
 	}
@@ -184,7 +185,7 @@
 	if got := operate(t, p, "POST /_backends/detach", "a"); got != 503 {
 		t.Errorf("with the loop held: got %d", got)
 	}
-	if took := time.Since(start); took < adminOperationTimeout {
+	if took := time.Since(start); took < admin.OperationTimeout {
 		t.Errorf("after %v", took)
 	}
 	close(release)
--- a/internal/proxy/operations.go
+++ b/internal/proxy/operations.go
@@ -7,11 +7,12 @@
 	"time"
 
 	"baylock/balancer"
+	"baylock/internal/admin"
 	"baylock/internal/operatorstate"
 )
 
 const (
-	// What one process is told reaches the others within this time, well within the grace of a drain.
+	// A change at one process reaches the others within this time, well within the grace of a drain.
 	stateSyncInterval = 50 * time.Millisecond
 	saveLearnedEvery  = 20 // syncs of the state between two saves of what the balancer has learned
 )
@@ -46,8 +47,8 @@
 	}
 }
 
-// Ready implements Operations: this process has an endpoint list and open listeners, and doesn't shut down. Lame duck
-// doesn't matter, as no new version could take over from a process that is in it.
+// Ready implements admin.Operations: this process has an endpoint list and open listeners, and doesn't shut down. Lame
+// duck doesn't matter, as no new version could take over from a process that is in it.
 func (p *Proxy) Ready() (settings string, err error) {
 	select {
 	case <-p.opened:
@@ -65,17 +66,17 @@
 	return p.loop.inForce.Load().String(), nil
 }
 
-// Detach implements Operations.
+// Detach implements admin.Operations.
 func (p *Proxy) Detach(ctx context.Context, backendID string) error {
 	return p.changeBackend(ctx, backendID, func(state *operatorstate.State) { state.Detach(backendID) })
 }
 
-// Attach implements Operations.
+// Attach implements admin.Operations.
 func (p *Proxy) Attach(ctx context.Context, backendID string) error {
 	return p.changeBackend(ctx, backendID, func(state *operatorstate.State) { state.Attach(backendID, time.Now()) })
 }
 
-// SetLameDuck implements Operations.
+// SetLameDuck implements admin.Operations.
 func (p *Proxy) SetLameDuck(ctx context.Context, on bool) error {
 	return p.operatorState.Change(
 		func(operatorstate.State) error { return nil },
@@ -95,7 +96,7 @@
 			return err
 		}
 		if !listed {
-			return errUnknownBackend
+			return admin.ErrUnknownBackend
 		}
 		return nil
 	}
@@ -127,8 +128,8 @@
 	}
 }
 
-// syncState follows what other processes of this proxy are told, and shares the limits with them while they live. It
-// returns when the context ends.
+// syncState applies changes of the state by other processes of this proxy, and shares the limits with them while they
+// live. It returns when the context ends.
 func (p *Proxy) syncState(ctx context.Context) {
 	ticker := time.NewTicker(stateSyncInterval)
 	defer ticker.Stop()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -6,11 +6,11 @@
 	"context"
 	"fmt"
 	"log/slog"
-	"net"
 	"sync"
 	"time"
 
 	"baylock/balancer"
+	"baylock/internal/admin"
 	"baylock/internal/config"
 	"baylock/internal/discovery"
 	"baylock/internal/operatorstate"
@@ -36,7 +36,7 @@
 	cfg           config.Config
 	loop          *loop
 	front         *frontend
-	console       *adminServer // nil if none is wanted
+	console       *admin.Server // nil if none is wanted
 	operatorState *operatorstate.Store
 	opened        chan struct{} // closed when all listeners are open
 	renews        chan string   // addresses of discovery that new configurations name
@@ -69,7 +69,7 @@
 	p := &Proxy{log: log, cfg: cfg, loop: l, operatorState: store, renews: make(chan string), opened: make(chan struct{}),
 		front: newFrontend(l, clients, log)}
 	if cfg.Console != "" {
-		p.console = newAdminServer(p, log)
+		p.console = admin.NewServer(p, log)
 	}
 	l.setDetached(operators.Detached)
 	if cfg.Known != nil {
@@ -117,9 +117,9 @@
 	}
 	p.front.clients.Listener = listener
 	if p.console != nil {
-		if p.console.connections.Listener, err = net.Listen("tcp", p.cfg.Console); err != nil {
+		if err := p.console.Listen(p.cfg.Console); err != nil {
 			listener.Close()
-			return fmt.Errorf("listen for operators: %w", err)
+			return err
 		}
 	}
 	if err := p.operatorState.StartAccepting(); err != nil {
@@ -134,7 +134,7 @@
 func (p *Proxy) Addr() string { return p.front.clients.Addr().String() }
 
 // ConsoleAddr is where operators call.
-func (p *Proxy) ConsoleAddr() string { return p.console.connections.Addr().String() }
+func (p *Proxy) ConsoleAddr() string { return p.console.Addr().String() }
 
 // Run serves until the context ends, then finishes what it has taken.
 func (p *Proxy) Run(ctx context.Context) error {
@@ -164,9 +164,9 @@
 	served := make(chan error, 1)
 	parts.Go(func() { served <- p.front.serve() })
 	if p.console != nil {
-		defer p.console.close()
+		defer p.console.Close()
 		parts.Go(func() {
-			if err := p.console.serve(); err != nil {
+			if err := p.console.Serve(); err != nil {
 				p.log.Error("no calls are taken any more", "error", err)
 			}
 		})
