--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -16,6 +16,7 @@
 	"baylock/internal/operatorstate"
 	"baylock/internal/socket"
 	"baylock/internal/timing"
+	"baylock/internal/upstream"
 )
 
 const (
@@ -63,7 +64,7 @@
 	clients, backends := cfg.Limits.Connections()
 	store := openOperatorState(cfg, log)
 	operators := store.Current()
-	l := newLoop(bal, timing.NewClock(), newBackends(cfg.Site.DialTimeout, cfg.Site.IdleClose, backends),
+	l := newLoop(bal, timing.NewClock(), upstream.NewPool(cfg.Site.DialTimeout, cfg.Site.IdleClose, backends),
 		zones, log)
 	l.inForce.Store(first)
 	p := &Proxy{log: log, cfg: cfg, loop: l, operatorState: store, renews: make(chan string), opened: make(chan struct{}),
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -49,7 +49,7 @@
 		return err
 	}
 	p.loop.inForce.Store(next)
-	p.loop.pool.configure(next.Site.DialTimeout, next.Site.IdleClose)
+	p.loop.pool.SetTimeouts(next.Site.DialTimeout, next.Site.IdleClose)
 	p.limits.Lock()
 	defer p.limits.Unlock()
 	p.applyLimits()
@@ -72,7 +72,7 @@
 	}
 	_, backends := limits.Connections()
 	p.front.clients.SetMaxConnections(limits.ClientConnections())
-	p.loop.pool.limit(backends)
+	p.loop.pool.SetMaxOpen(backends)
 	p.front.budget.SetLimit(limits.MemoryMB)
 	p.limitRuntimeMemory(limits.MemoryMB)
 	if cores := int(math.Ceil(limits.Cores)); cores > 0 && cores != runtime.GOMAXPROCS(0) {
