--- a/internal/scale/slopes/slopes_test.go
+++ b/internal/scale/slopes/slopes_test.go
@@ -1,8 +1,6 @@
 package slopes
 
 import (
-	"context"
-	"errors"
 	"math"
 	"os"
 	"slices"
@@ -24,23 +22,25 @@
 
 func TestMeasureAllGivesSamplesOfEverySize(t *testing.T) {
 	for _, m := range modes() {
-		env, p := scaletest.Env(t), shortPlan()
-		points, err := measureAll(t.Context(), env, p, m, nil)
-		if err != nil {
-			t.Fatalf("%s: %v", m.name, err)
-		}
-		if len(points) != len(p.sizes) {
-			t.Fatalf("%s: %d points", m.name, len(points))
-		}
-		for i, at := range points {
-			if at.size != p.sizes[i] || at.calls == 0 {
-				t.Errorf("%s: point %d is of size %d with %d calls", m.name, i, at.size, at.calls)
+		t.Run(m.name, func(t *testing.T) {
+			env, p := scaletest.Env(t), shortPlan()
+			points, err := measureAll(t.Context(), env, p, m, nil)
+			if err != nil {
+				t.Fatal(err)
 			}
-			checkSamples(t, p, at)
-		}
-		if env.Budget.Processes() != 0 {
-			t.Errorf("%s: %d processes still run", m.name, env.Budget.Processes())
-		}
+			if len(points) != len(p.sizes) {
+				t.Fatalf("%d points, want %d", len(points), len(p.sizes))
+			}
+			for i, at := range points {
+				if at.size != p.sizes[i] || at.calls == 0 {
+					t.Errorf("point %d is of size %d with %d calls", i, at.size, at.calls)
+				}
+				checkSamples(t, p, at)
+			}
+			if n := env.Budget.Processes(); n != 0 {
+				t.Errorf("%d processes still run", n)
+			}
+		})
 	}
 }
 
@@ -82,18 +82,7 @@
 	}
 }
 
-func TestRunEndsWithContext(t *testing.T) {
-	env := scaletest.Env(t)
-	stop := errors.New("stopped by the test")
-	ctx, cancel := context.WithCancelCause(t.Context())
-	env.Progress = func(string, ...any) { cancel(stop) }
-	if _, err := Experiment.Run(ctx, env); !errors.Is(err, stop) {
-		t.Errorf("got %v", err)
-	}
-	if env.Budget.Processes() != 0 {
-		t.Errorf("%d processes still run", env.Budget.Processes())
-	}
-}
+func TestRunEndsWithContext(t *testing.T) { scaletest.CheckCancelledRun(t, Experiment, "") }
 
 func TestFiguresIncludeFittedLine(t *testing.T) {
 	var points []*point
