--- a/cmd/baylock/main_test.go
+++ b/cmd/baylock/main_test.go
@@ -70,15 +70,8 @@
 func TestReloadAppliesOrRejectsConfiguration(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	write(t, path, validFile)
-	var mu sync.Mutex
-	var logged []string
-	log := slog.New(slog.NewTextHandler(writerFunc(func(b []byte) {
-		mu.Lock()
-		defer mu.Unlock()
-		if strings.Contains(string(b), "settings in force") || strings.Contains(string(b), "not taken") {
-			logged = append(logged, string(b))
-		}
-	}), nil))
+	var logged settingsLog
+	log := slog.New(slog.NewTextHandler(&logged, nil))
 	p := startProxy(t, path, log)
 	var addresses []string
 	apply := func(cfg config.Config) error {
@@ -88,41 +81,40 @@
 		}
 		return err
 	}
-	texts := []struct{ old, new, rejection string }{
-		{validFile, validFile, ""},
-		{validFile, validFile[:99], "unexpected end"},
-		{validFile, "", "unexpected end"},
-		{"127.0.0.1:1", "nowhere", "discovery"},
-		{"127.0.0.1:1", "127.0.0.1:port", "discovery"},
-		{"127.0.0.1:0", "127.0.0.1:9", "listen"},
-		{`"n3"`, `"n4"`, "name"},
-		{`"siblings":1`, `"siblings":0`, "Replicas"},
-		{`"siblings":1`, `"siblings":1,"stage":1`, "Tier: a change needs a restart"},
-		{`"automatic"`, `"subscribe"`, "MaxPollInterval"},
-		{`"sockets":512`, `"sockets":40`, "sockets are too few"},
-		{"127.0.0.1:1", "127.0.0.1:2", ""},
-		{`"siblings":1`, `"siblings":2`, ""},
-	}
-	for _, c := range texts {
-		write(t, path, strings.Replace(validFile, c.old, c.new, 1))
-		reload(environment(path), apply, log)
+	for i, c := range []struct{ name, old, new, rejection string }{
+		{"unchanged", validFile, validFile, ""},
+		{"incomplete", validFile, validFile[:99], "unexpected end"},
+		{"empty", validFile, "", "unexpected end"},
+		{"discovery without port", "127.0.0.1:1", "nowhere", "discovery"},
+		{"discovery port no number", "127.0.0.1:1", "127.0.0.1:port", "discovery"},
+		{"listen", "127.0.0.1:0", "127.0.0.1:9", "listen"},
+		{"name", `"n3"`, `"n4"`, "name"},
+		{"no replica", `"siblings":1`, `"siblings":0`, "Replicas"},
+		{"tier", `"siblings":1`, `"siblings":1,"stage":1`, "Tier: a change needs a restart"},
+		{"subscription", `"automatic"`, `"subscribe"`, "MaxPollInterval"},
+		{"too few sockets", `"sockets":512`, `"sockets":40`, "sockets are too few"},
+		{"discovery", "127.0.0.1:1", "127.0.0.1:2", ""},
+		{"replicas", `"siblings":1`, `"siblings":2`, ""},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			write(t, path, strings.Replace(validFile, c.old, c.new, 1))
+			reload(environment(path), apply, log)
+			lines := logged.lines()
+			if len(lines) != 2+i { // one at the start
+				t.Fatalf("logged %q", lines)
+			}
+			line := lines[len(lines)-1]
+			if rejected := strings.Contains(line, "not taken"); rejected != (c.rejection != "") || !strings.Contains(line, c.rejection) {
+				t.Errorf("logged %q", line)
+			}
+		})
 	}
 	if want := []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:1"}; !slices.Equal(addresses, want) {
 		t.Errorf("discovery at %q", addresses)
 	}
-	mu.Lock()
-	defer mu.Unlock()
-	if len(logged) != 1+len(texts) { // one at the start
-		t.Fatalf("logged %q", logged)
-	}
-	for i, c := range texts {
-		line := logged[1+i]
-		if rejected := strings.Contains(line, "not taken"); rejected != (c.rejection != "") || !strings.Contains(line, c.rejection) {
-			t.Errorf("%s: logged %q", c.new, line)
-		}
-	}
+	lines := logged.lines()
 	// What docs/oncall.md has operators compute from the two files.
-	if first, last := logged[0], logged[len(logged)-1]; !strings.Contains(first, "version=d693ccca0c79 ") ||
+	if first, last := lines[0], lines[len(lines)-1]; !strings.Contains(first, "version=d693ccca0c79 ") ||
 		!strings.Contains(last, "version=344e844e1259 ") {
 		t.Errorf("the first line is %q, the last one %q", first, last)
 	}
@@ -192,6 +184,23 @@
 
 const patience = 20 * time.Second
 
-type writerFunc func([]byte)
+// settingsLog collects the log lines about configurations.
+type settingsLog struct {
+	mu        sync.Mutex
+	collected []string
+}
 
-func (f writerFunc) Write(b []byte) (int, error) { f(b); return len(b), nil }
+func (l *settingsLog) Write(line []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if text := string(line); strings.Contains(text, "settings in force") || strings.Contains(text, "not taken") {
+		l.collected = append(l.collected, text)
+	}
+	return len(line), nil
+}
+
+func (l *settingsLog) lines() []string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return slices.Clone(l.collected)
+}
