--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -6,10 +6,10 @@
 import (
 	"fmt"
 	"log/slog"
-	"net"
 	"sync"
 
 	"baylock/balancer"
+	"baylock/internal/admin"
 	"baylock/internal/clientconn"
 	"baylock/internal/config"
 	"baylock/internal/discovery"
@@ -28,7 +28,7 @@
 	clients       *clientconn.Listener
 	limits        *resourceLimits
 	server        *downstream.Server
-	console       *adminServer // nil without a console
+	console       *admin.Server // nil without a console
 	operatorState *operatorstate.Store
 
 	opened             chan struct{} // closed when all listeners are open
@@ -92,7 +92,7 @@
 		Log:        p.log,
 	})
 	if p.config.Console != "" {
-		p.console = newAdminServer(p, p.log)
+		p.console = admin.NewServer(p, p.log)
 	}
 }
 
@@ -145,9 +145,9 @@
 	}
 	p.clients.Listener = listener
 	if p.console != nil {
-		if p.console.connections.Listener, err = net.Listen("tcp", p.config.Console); err != nil {
+		if err := p.console.Listen(p.config.Console); err != nil {
 			listener.Close()
-			return fmt.Errorf("listen for operators: %w", err)
+			return err
 		}
 	}
 	if err := p.operatorState.StartAccepting(); err != nil {
@@ -172,4 +172,4 @@
 func (p *Proxy) Addr() string { return p.clients.Addr().String() }
 
 // ConsoleAddr returns the address where operators connect.
-func (p *Proxy) ConsoleAddr() string { return p.console.connections.Addr().String() }
+func (p *Proxy) ConsoleAddr() string { return p.console.Addr().String() }
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -42,7 +42,7 @@
 		}
 	}
 	if p.console != nil {
-		defer p.console.close()
+		defer p.console.Close()
 		tasks.Go(p.serveConsole)
 	}
 	served := make(chan error, 1)
@@ -58,7 +58,7 @@
 }
 
 func (p *Proxy) serveConsole() {
-	if err := p.console.serve(); err != nil {
+	if err := p.console.Serve(); err != nil {
 		p.log.Error("no calls are taken any more", "error", err)
 	}
 }
