--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"baylock/balancer"
+	"baylock/internal/config"
 	"baylock/internal/discovery"
 	"baylock/internal/message"
 	"baylock/internal/microtime"
@@ -33,7 +34,7 @@
 	wait     time.Duration
 	answer   chan answer // takes the one final answer without a wait
 
-	snapshot *snapshot // it was read under these settings; the loop's, once it has it
+	snapshot *config.Snapshot // it was read under these settings; the loop's, once it has it
 
 	over    bool
 	sends   int
@@ -70,7 +71,7 @@
 	listed chan struct{} // closed when there is a list
 	told   chan struct{} // closed when discovery has said something
 
-	inForce atomic.Pointer[snapshot] // the settings; the loop replaces them, and each request is read under one
+	inForce atomic.Pointer[config.Snapshot] // the settings; the loop replaces them, and each request is read under one
 
 	detached map[string]bool     // the backends that operators have detached
 	reqs     map[string]*request // until answered and no attempt is out
@@ -198,7 +199,7 @@
 
 func (l *loop) apply(kind balancer.UpdateKind, list *discovery.List) {
 	l.pool.ApplyEndpoints(kind != balancer.IncrementalUpdate, list.Endpoints)
-	l.bal.UpdateEndpoints(l.clock.Now(), l, kind, l.zones.Servers(list.Endpoints))
+	l.bal.UpdateEndpoints(l.clock.Now(), l, kind, l.zones.Endpoints(list.Endpoints))
 	select {
 	case <-l.listed:
 	default:
@@ -214,7 +215,7 @@
 		r.answer <- answer{status: http.StatusBadRequest}
 		return
 	}
-	if !l.current(r) {
+	if !l.adopt(r) {
 		return
 	}
 	if l.cutoff > 0 {
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -85,9 +85,9 @@
 	}
 	serving := update.Status == discovery.Serving
 	if e.address != update.Address || e.startedMs != update.SinceMs || e.serving != serving ||
-		e.zone != update.Zone || e.cell != update.Group {
+		e.zone != update.Zone || e.cell != update.Cell {
 		e.address, e.startedMs, e.serving = update.Address, update.SinceMs, serving
-		e.zone, e.cell = update.Zone, update.Group
+		e.zone, e.cell = update.Zone, update.Cell
 		e.ready = serving && !p.detached[update.Name]
 		p.advanceGenerationLocked(e)
 	}
