--- a/internal/clientconn/listener_test.go
+++ b/internal/clientconn/listener_test.go
@@ -6,32 +6,10 @@
 	"testing"
 	"time"
 
+	"baylock/internal/backendtest"
 	"baylock/internal/socket"
 )
 
-const patience = 20 * time.Second // for what must happen
-
-// receive returns the next value of a channel.
-func receive[T any](t *testing.T, what string, c <-chan T) T {
-	t.Helper()
-	select {
-	case v := <-c:
-		return v
-	case <-time.After(patience):
-		t.Fatalf("no %s", what)
-		panic("unreachable")
-	}
-}
-
-func waitUntil(t *testing.T, condition func() bool) {
-	t.Helper()
-	for end := time.Now().Add(patience); !condition(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("not in time")
-		}
-	}
-}
-
 // dialAndSend opens a connection, which ends with the test, and writes to it.
 func dialAndSend(t *testing.T, address, text string) net.Conn {
 	t.Helper()
@@ -40,7 +18,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(backendtest.Patience))
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
@@ -79,18 +57,18 @@
 	}()
 	acceptPartialRequest := func() net.Conn {
 		dialAndSend(t, inner.Addr().String(), partialRequest)
-		receive(t, "connection at the inner listener", acceptedInner)
-		c := receive(t, "accepted connection", accepted)
-		waitUntil(t, func() bool { return !socket.IsQuiet(c) }) // its bytes have arrived
+		backendtest.Receive(t, "connection at the inner listener", acceptedInner)
+		c := backendtest.Receive(t, "accepted connection", accepted)
+		backendtest.WaitUntil(t, func() bool { return !socket.IsQuiet(c) }) // its bytes have arrived
 		return c
 	}
 	first, _ := acceptPartialRequest(), acceptPartialRequest()
 	third := dialAndSend(t, inner.Addr().String(), "GET /_ready")
-	receive(t, "third connection at the inner listener", acceptedInner)
+	backendtest.Receive(t, "third connection at the inner listener", acceptedInner)
 	if _, err := io.ReadFull(first, make([]byte, len(partialRequest))); err != nil { // now it can be evicted
 		t.Fatal(err)
 	}
-	got := receive(t, "third accepted connection", accepted)
+	got := backendtest.Receive(t, "third accepted connection", accepted)
 	if got.RemoteAddr().String() != third.LocalAddr().String() {
 		t.Errorf("got %v, want %v", got.RemoteAddr(), third.LocalAddr())
 	}
--- a/internal/downstream/downstream.go
+++ b/internal/downstream/downstream.go
@@ -15,7 +15,7 @@
 type Dispatcher interface {
 	// Submit hands a request over. The dispatcher calls its Respond once, unless Done is closed first.
 	Submit(*Request)
-	// Cancel tells that nobody waits for a request's response any more. It may have been given.
+	// Cancel withdraws a request whose client has gone. Its response may have been given already.
 	Cancel(*Request)
 	// Done is closed when the dispatcher has stopped. Requests that have no response by then get none.
 	Done() <-chan struct{}
@@ -54,7 +54,7 @@
 
 // Response is the final response to a request.
 type Response struct {
-	Status      int // HTTP status; 0 where the client has gone and gets none
+	Status      int // HTTP status; 0 for no response, where the client has gone
 	ContentType string
 	Body        []byte
 	Stream      *message.ResponseStream // in place of Body, for a response that is forwarded as it arrives
--- a/internal/downstream/drain.go
+++ b/internal/downstream/drain.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// SetTakenOver tells whether another process of this proxy accepts connections.
+// SetTakenOver sets whether another process of this proxy accepts connections.
 func (s *Server) SetTakenOver(takenOver bool) { s.takenOver.Store(takenOver) }
 
 // Drain shuts down after SIGTERM. Until serveUntil clients are served as ever, and keep their connections: new ones stop
@@ -74,7 +74,7 @@
 
 // Shutdown closes the listener once its queue is empty, connections as they fall idle, and at cutoff those that have
 // brought half a request. Submitted requests get their responses even then: the dispatcher fails them at cutoff, a response
-// that is forwarded may take longer, and whoever wants it ended kills the process. No connection arrives after the last
+// that is being forwarded may take longer, until SIGKILL. No connection arrives after the last
 // look at them, since by then the listener is closed and nothing accepts.
 func (s *Server) Shutdown(cutoff time.Time) {
 	s.closeAfterResponse.Store(true)
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -138,7 +138,7 @@
 	clientGone := ctx.Done()
 	var uploaded <-chan struct{}
 	if stream := request.Forwarded.Stream; stream != nil {
-		// Whoever reads the body sees the client go. Until its end the context does not tell that from a pause.
+		// Until the body has ended, its reader notices whether the client has gone or only pauses.
 		clientGone, uploaded = nil, stream.Done()
 	}
 	for {
--- a/internal/proxy/body_test.go
+++ b/internal/proxy/body_test.go
@@ -7,7 +7,6 @@
 	"fmt"
 	"io"
 	"net/http"
-	"runtime"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -15,24 +14,13 @@
 	"time"
 
 	"baylock/balancer"
-	"baylock/internal/config"
-	"baylock/internal/discovery"
+	"baylock/internal/backendtest"
 	"baylock/internal/message"
-	"baylock/internal/settings"
 	"baylock/internal/upstream"
 )
 
-// text is a body whose every part differs.
-func text(n int) string {
-	var b strings.Builder
-	for i := 0; b.Len() < n; i++ {
-		fmt.Fprintf(&b, "%07d ", i)
-	}
-	return b.String()[:n]
-}
-
-// chunked writes a body in pieces of that size, with a trailer.
-func chunked(body string, piece int) string {
+// encodeChunked encodes a body in chunks of a size, with a trailer.
+func encodeChunked(body string, piece int) string {
 	var b strings.Builder
 	for ; len(body) > 0; body = body[min(piece, len(body)):] {
 		p := body[:min(piece, len(body))]
@@ -41,31 +29,31 @@
 	return b.String() + "0\r\nX-Sum: 1\r\n\r\n"
 }
 
-// echo answers a request with its own body, or where the query says so with as many bytes, framed in its turn.
+// echo responds with the body of the request, or with as many bytes as the query names, in the framing that it names.
 func echo(w io.Writer, r *http.Request, body []byte) {
 	if n := r.URL.Query().Get("n"); n != "" {
 		var size int
 		_, _ = fmt.Sscan(n, &size)
-		body = []byte(text(size))
+		body = []byte(distinctText(size))
 	}
 	if r.URL.Query().Get("chunked") != "" {
-		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nTrailer: X-Sum\r\nTransfer-Encoding: chunked\r\n\r\n"+chunked(string(body), 10_000))
+		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nTrailer: X-Sum\r\nTransfer-Encoding: chunked\r\n\r\n"+encodeChunked(string(body), 10_000))
 		return
 	}
 	_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// startReader is a backend that gets each request's body; it is asked for an answer when all of it has come.
-func startReader(t *testing.T, reply func(w io.Writer, r *http.Request, body []byte)) *fakeBackend {
+// startBufferingBackend starts a backend that responds when it has received all of a request's body.
+func startBufferingBackend(t *testing.T, reply func(w io.Writer, r *http.Request, body []byte)) *backendtest.Backend {
 	t.Helper()
-	var came atomic.Pointer[fakeBackend]
-	b := startRawBackend(t, func(w io.Writer, r *http.Request) bool {
+	var came atomic.Pointer[backendtest.Backend]
+	b := backendtest.StartRaw(t, func(w io.Writer, r *http.Request) bool {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return false
 		}
 		if b := came.Load(); b != nil {
-			b.requests.Add(1)
+			b.Requests.Add(1)
 		}
 		reply(w, r, body)
 		return true
@@ -74,30 +62,25 @@
 	return b
 }
 
-func withBackend(t *testing.T, b *fakeBackend) *running {
-	t.Helper()
-	return startProxy(t, startDiscovery(t).addr, 400, listText(1, true, listed("a", b.addr, discovery.Serving)))
-}
-
-// Long bodies pass both ways unchanged, in every framing and however they are cut, on a connection that is kept.
-func TestLongBodiesPassUnchanged(t *testing.T) {
-	b := startReader(t, echo)
-	p := withBackend(t, b)
+// Long bodies are forwarded unchanged both ways, in every framing and however they are cut, on a connection that is kept.
+func TestProxyForwardsBodiesUnchanged(t *testing.T) {
+	b := startBufferingBackend(t, echo)
+	p := startWithBackend(t, b)
 	c := connect(t, p)
 	n := 0
 	for _, size := range []int{0, 1, 5, 4096, message.MaxBuffered - 1, message.MaxBuffered, message.MaxBuffered + 1, 300_000, 3_000_000} {
 		for _, in := range []string{"length", "chunks"} {
 			for _, out := range []string{"", "?chunked=1"} {
 				n++
-				body := text(size)
-				head := strings.Replace(post(fmt.Sprint("r", n), "Content-Length: "+fmt.Sprint(size)), "/k ", "/k"+out+" ", 1)
+				body := distinctText(size)
+				head := strings.Replace(postHead(fmt.Sprint("r", n), "Content-Length: "+fmt.Sprint(size)), "/k ", "/k"+out+" ", 1)
 				sent := body
 				if in == "chunks" {
 					head = strings.Replace(head, "Content-Length: "+fmt.Sprint(size), "Transfer-Encoding: chunked\r\nTrailer: X-Sum", 1)
-					sent = chunked(body, 7000)
+					sent = encodeChunked(body, 7000)
 				}
 				go func() { _, _ = io.WriteString(c, head+sent) }()
-				resp, got := c.answer(t)
+				resp, got := c.readResponse(t)
 				if resp.StatusCode != 200 || got != body || resp.Close {
 					t.Fatalf("%d bytes in %s, answer %q: got %s with %d bytes, close %v", size, in, out, resp.Status, len(got), resp.Close)
 				}
@@ -105,20 +88,20 @@
 			}
 		}
 	}
-	waitUntil(t, func() bool { return p.limits.budget.InUse() == 0 })
+	backendtest.WaitUntil(t, func() bool { return p.limits.budget.InUse() == 0 })
 }
 
-// 32 MB pass, one byte more does not.
-func TestTheLongestBody(t *testing.T) {
-	b := startReader(t, func(w io.Writer, r *http.Request, body []byte) {
+// A body of MaxBody is forwarded, a longer one is rejected.
+func TestProxyForwardsBodiesUpToMaxBody(t *testing.T) {
+	b := startBufferingBackend(t, func(w io.Writer, r *http.Request, body []byte) {
 		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", message.MaxBody)
 		_, _ = w.Write(body)
 	})
-	p := withBackend(t, b)
+	p := startWithBackend(t, b)
 	c := connect(t, p)
 	body := bytes.Repeat([]byte("0123456789abcdef"), message.MaxBody/16)
 	go func() {
-		_, _ = io.WriteString(c, post("1", fmt.Sprint("Content-Length: ", message.MaxBody)))
+		_, _ = io.WriteString(c, postHead("1", fmt.Sprint("Content-Length: ", message.MaxBody)))
 		_, _ = c.Write(body)
 	}()
 	resp, err := http.ReadResponse(c.r, nil)
@@ -131,25 +114,25 @@
 	}
 	c = connect(t, p) // the length shows only when it has come
 	go func() {
-		_, _ = io.WriteString(c, post("2", "Transfer-Encoding: chunked"))
+		_, _ = io.WriteString(c, postHead("2", "Transfer-Encoding: chunked"))
 		for range message.MaxBody/len(body[:1<<20]) + 1 {
 			if _, err := fmt.Fprintf(c, "%x\r\n%s\r\n", 1<<20, body[:1<<20]); err != nil {
 				return
 			}
 		}
 	}()
-	if resp, _ := c.answer(t); resp.StatusCode != 413 || !resp.Close {
+	if resp, _ := c.readResponse(t); resp.StatusCode != 413 || !resp.Close {
 		t.Errorf("a longer one: got %s", resp.Status)
 	}
-	if n := b.requests.Load(); n != 1 {
-		t.Errorf("%d requests came whole", n)
+	if n := b.Requests.Load(); n != 1 {
+		t.Errorf("%d requests arrived completely", n)
 	}
 }
 
-// Pieces cut anywhere, slowly: the head, the body, the answer. The time of a request counts from its last byte, so
-// one that takes longer to come than its client will wait for the answer is served.
-func TestSlowBodiesHaveTheirTime(t *testing.T) {
-	b := startReader(t, func(w io.Writer, r *http.Request, body []byte) {
+// Head, body and response arrive slowly, cut anywhere. The timeout of a request starts with its last byte, so one that takes
+// longer to arrive than that is served.
+func TestProxyForwardsSlowBodies(t *testing.T) {
+	b := startBufferingBackend(t, func(w io.Writer, r *http.Request, body []byte) {
 		for _, piece := range []string{"HTT", "P/1.1 200 OK\r\nContent-Le", fmt.Sprintf("ngth: %d\r", len(body)), "\n\r", "\n"} {
 			_, _ = io.WriteString(w, piece)
 			time.Sleep(20 * time.Millisecond)
@@ -159,13 +142,13 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	})
-	p := withBackend(t, b)
+	p := startWithBackend(t, b)
 	var all sync.WaitGroup
 	for i, size := range []int{100, 30_000, 150_000} {
 		c := connect(t, p)
-		body := text(size)
+		body := distinctText(size)
 		all.Go(func() {
-			head := strings.Replace(post(fmt.Sprint(i), "Content-Length: "+fmt.Sprint(size)), "-Ms: 4000", "-Ms: 900", 1)
+			head := strings.Replace(postHead(fmt.Sprint(i), "Content-Length: "+fmt.Sprint(size)), "-Ms: 4000", "-Ms: 900", 1)
 			for ; len(head) > 0; head = head[min(len(head), 7):] {
 				_, _ = io.WriteString(c, head[:min(len(head), 7)])
 				time.Sleep(10 * time.Millisecond)
@@ -175,7 +158,7 @@
 				_, _ = io.WriteString(c, rest[:min(len(rest), step)])
 				time.Sleep(40 * time.Millisecond) // 1 s in all
 			}
-			if resp, got := c.answer(t); resp.StatusCode != 200 || got != body {
+			if resp, got := c.readResponse(t); resp.StatusCode != 200 || got != body {
 				t.Errorf("%d bytes: got %s with %d", size, resp.Status, len(got))
 			}
 		})
@@ -183,317 +166,139 @@
 	all.Wait()
 }
 
-// A client that asks first is told to go on.
-func TestExpectContinue(t *testing.T) {
-	p := withBackend(t, startReader(t, echo))
-	for i, size := range []int{10, 200_000} {
-		c := connect(t, p)
-		c.send(t, post(fmt.Sprint(i), fmt.Sprintf("Expect: 100-continue\r\nContent-Length: %d", size)))
-		if resp, err := http.ReadResponse(c.r, nil); err != nil || resp.StatusCode != 100 {
-			t.Fatalf("got %v, %v", resp, err)
-		}
-		go func() { _, _ = io.WriteString(c, text(size)) }()
-		if resp, body := c.answer(t); resp.StatusCode != 200 || body != text(size) {
-			t.Errorf("got %s with %d bytes", resp.Status, len(body))
-		}
-	}
-}
-
-// Many long bodies at once, together far over the limit, read slowly: the memory stays small, and what is held stays
-// within its budget.
-func TestManyLongBodiesTakeLittleMemory(t *testing.T) {
-	const size, many = 4 << 20, 60
-	body := bytes.Repeat([]byte("0123456789abcdef"), size/16)
-	b := startRawBackend(t, func(w io.Writer, r *http.Request) bool {
-		_, err := io.Copy(io.Discard, r.Body)
-		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
-		_, _ = w.Write(body)
-		return err == nil
-	})
-	site, err := settings.Decode([]byte(siteText))
-	if err != nil {
-		t.Fatal(err)
-	}
-	cfg := config.Config{Listen: "127.0.0.1:0", Discovery: startDiscovery(t).addr, Seed: 7, Limits: config.Limits{Sockets: 1024, MemoryMB: 32},
-		Site: site}
-	if cfg.Known, err = discovery.ParseList([]byte(listText(1, true, listed("a", b.addr, discovery.Serving)))); err != nil {
-		t.Fatal(err)
-	}
-	p := start(t, cfg)
-	var before, now runtime.MemStats
-	runtime.GC()
-	runtime.ReadMemStats(&before)
-	var all sync.WaitGroup
-	var most atomic.Uint64
-	var whole atomic.Int32
-	for i := range many {
-		c := connect(t, p)
-		all.Go(func() {
-			go func() {
-				_, _ = io.WriteString(c, post(fmt.Sprint("r", i), fmt.Sprint("Content-Length: ", size)))
-				_, _ = c.Write(body)
-			}()
-			resp, err := http.ReadResponse(c.r, nil)
-			if err == nil && resp.StatusCode == 503 { // on a busy machine the rules may refuse some
-				return
-			}
-			if err != nil || resp.StatusCode != 200 {
-				t.Errorf("got %v, %v", resp, err)
-				return
-			}
-			whole.Add(1)
-			got := 0
-			buf := make([]byte, 256<<10)
-			for {
-				n, err := resp.Body.Read(buf)
-				if got += n; err == io.EOF {
-					break
-				} else if err != nil {
-					t.Errorf("after %d bytes: %v", got, err)
-					return
-				}
-				time.Sleep(time.Millisecond)
+func TestProxyAnswersExpectContinue(t *testing.T) {
+	p := startWithBackend(t, startBufferingBackend(t, echo))
+	for name, size := range map[string]int{"buffered": 10, "streamed": 200_000} {
+		t.Run(name, func(t *testing.T) {
+			c := connect(t, p)
+			c.send(t, postHead(name, fmt.Sprintf("Expect: 100-continue\r\nContent-Length: %d", size)))
+			if resp, err := http.ReadResponse(c.r, nil); err != nil || resp.StatusCode != 100 {
+				t.Fatalf("got %v, %v", resp, err)
 			}
-			if got != size {
-				t.Errorf("got %d bytes", got)
+			go func() { _, _ = io.WriteString(c, distinctText(size)) }()
+			if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != distinctText(size) {
+				t.Errorf("got %s with %d bytes", resp.Status, len(body))
 			}
 		})
 	}
-	done := make(chan struct{})
-	go func() { all.Wait(); close(done) }()
-	for end := false; !end; {
-		select {
-		case <-done:
-			end = true
-		case <-time.After(20 * time.Millisecond):
-			runtime.ReadMemStats(&now)
-			most.Store(max(most.Load(), now.HeapInuse))
-			if n := p.limits.budget.InUse(); n > p.limits.budget.Limit() {
-				t.Fatalf("%d bytes are held of at most %d", n, p.limits.budget.Limit())
-			}
-		}
-	}
-	if n := whole.Load(); n < many/3 {
-		t.Errorf("%d of %d were served", n, many)
-	}
-	// The clients' own buffers are counted in.
-	if grown := int64(most.Load()) - int64(before.HeapInuse); grown > (32<<20)+many*(256<<10) {
-		t.Errorf("%d MB more memory in use", grown>>20)
-	}
-	waitUntil(t, func() bool { return p.limits.budget.InUse() == 0 })
-}
-
-// Without room a body is not held but passed on, and none waits.
-func TestAFullBudgetHoldsNothing(t *testing.T) {
-	p := withBackend(t, startReader(t, echo))
-	all := p.limits.budget.Reserve()
-	if !all.Grow(p.limits.budget.Limit()) {
-		t.Fatal("no budget")
-	}
-	c := connect(t, p)
-	c.send(t, post("1", "Content-Length: 30000")+text(30000))
-	if resp, body := c.answer(t); resp.StatusCode != 200 || body != text(30000) {
-		t.Errorf("got %s with %d bytes", resp.Status, len(body))
-	}
-	all.Release()
-	if all.Grow(1) || p.limits.budget.InUse() != 0 {
-		t.Error("a lease goes on after its end")
-	}
-}
-
-// nothingLeft waits until nothing is left of any request.
-func nothingLeft(t *testing.T, p *running) {
-	t.Helper()
-	waitUntil(t, func() bool {
-		left := make(chan int, 1)
-		p.onLoop(func() { left <- len(p.loop.requests) + p.loop.timers.Len() })
-		n := wait(t, "word of the loop", left)
-		pool := p.loop.pool.Stats()
-		return n == 0 && pool.Open == pool.Idle && p.limits.budget.InUse() == 0
-	})
-}
-
-// A client that leaves while it writes or reads a long body leaves nothing behind, and the backend is told by a close;
-// one that only stops is told so.
-func TestAClientThatLeavesInMidBody(t *testing.T) {
-	stop := make(chan struct{})
-	b := startRawBackend(t, func(w io.Writer, r *http.Request) bool {
-		if _, err := io.Copy(io.Discard, r.Body); err != nil {
-			return false
-		}
-		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 1<<20, text(100_000))
-		<-stop
-		return false
-	})
-	defer close(stop)
-	p := withBackend(t, b)
-	for i := range 3 {
-		c := connect(t, p)
-		c.send(t, post(fmt.Sprint("u", i), "Content-Length: 300000")+text(100_000))
-		waitUntil(t, func() bool { return int(b.begun.Load()) == i+1 })
-		c.Close()
-		wait(t, "end of the backend's connection", b.closed)
-		nothingLeft(t, p)
-	}
-	c := connect(t, p)
-	c.send(t, post("stops", "Content-Length: 300000")+text(100_000))
-	if resp, _ := c.answer(t); resp.StatusCode != 400 || !resp.Close {
-		t.Errorf("one that stops: got %s", resp.Status)
-	}
-	wait(t, "end of the backend's connection", b.closed)
-	nothingLeft(t, p)
-	if n := b.requests.Load(); n != 0 {
-		t.Errorf("%d requests came whole", n)
-	}
-	c = connect(t, p)
-	c.send(t, post("d", "Content-Length: 0"))
-	resp, err := http.ReadResponse(c.r, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := io.CopyN(io.Discard, resp.Body, 50_000); err != nil {
-		t.Fatal(err)
-	}
-	c.Close()
-	nothingLeft(t, p)
 }
 
-// A backend that breaks off in the middle of a long answer: the client can tell, nobody else is asked, and nothing is
-// made up.
-func TestABrokenAnswerLooksBroken(t *testing.T) {
-	for name, head := range map[string]string{"length": "Content-Length: 300000\r\n\r\n", "chunks": "Transfer-Encoding: chunked\r\n\r\n493e0\r\n"} {
+// A buffered request can be sent to another backend. A streamed one can not, and its client learns that at once.
+func TestOnlyBufferedRequestsAreRetried(t *testing.T) {
+	for name, c := range map[string]struct{ size, wantStatus int }{
+		"buffered": {40_000, http.StatusOK},
+		"streamed": {2_000_000, http.StatusServiceUnavailable},
+	} {
 		t.Run(name, func(t *testing.T) {
-			b := startReader(t, func(w io.Writer, _ *http.Request, _ []byte) {
-				_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\n"+head+text(200_000))
-				w.(io.Closer).Close()
+			var rejected atomic.Int32
+			a := backendtest.StartRaw(t, func(w io.Writer, _ *http.Request) bool { // before it has the complete request
+				rejected.Add(1)
+				_, _ = io.WriteString(w, "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
+				return false
 			})
-			p := withBackend(t, b)
-			c := connect(t, p)
-			c.send(t, look("1", 4000))
-			resp, err := http.ReadResponse(c.r, nil)
-			if err != nil {
-				t.Fatal(err)
-			}
-			body, err := io.ReadAll(resp.Body)
-			if !errors.Is(err, io.ErrUnexpectedEOF) || !strings.HasPrefix(text(300_000), string(body)) {
-				t.Errorf("got %d bytes, %v", len(body), err)
+			b := startBufferingBackend(t, echo)
+			p := startProxy(t, startDiscovery(t).addr, 400, servingList(a, b))
+			body := distinctText(c.size)
+			for i := 0; rejected.Load() == 0 && i < 200; i++ {
+				client := connect(t, p)
+				before := rejected.Load()
+				go func() {
+					_, _ = io.WriteString(client, postHead(fmt.Sprint(i), "Content-Length: "+fmt.Sprint(c.size))+body)
+				}()
+				start := time.Now()
+				resp, got := client.readResponse(t)
+				if rejected.Load() > before && resp.StatusCode != c.wantStatus || resp.StatusCode == 200 && got != body {
+					t.Errorf("got %s with %d bytes", resp.Status, len(got))
+				}
+				if took := time.Since(start); took > 2*time.Second {
+					t.Errorf("answered after %v", took)
+				}
 			}
-			nothingLeft(t, p)
-			if n := b.requests.Load(); n != 1 {
-				t.Errorf("%d attempts", n)
+			if rejected.Load() == 0 {
+				t.Error("no request was sent to the backend that rejects")
 			}
 		})
 	}
 }
 
-// What is held can be sent to another backend; what has been passed on can't, and its client hears so at once.
-func TestOnlyWhatIsHeldIsSentAgain(t *testing.T) {
-	full := func(w io.Writer, r *http.Request) bool { // before it has the whole request
-		_, _ = io.WriteString(w, "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
-		return false
-	}
-	for _, c := range []struct {
-		size, want int
-	}{{40_000, 200}, {2_000_000, 503}} {
-		var refused atomic.Int32
-		a := startRawBackend(t, func(w io.Writer, r *http.Request) bool { refused.Add(1); return full(w, r) })
-		b := startReader(t, echo)
-		p := startProxy(t, startDiscovery(t).addr, 400, listText(1, true, listed("a", a.addr, discovery.Serving), listed("b", b.addr, discovery.Serving)))
-		for i := 0; refused.Load() == 0 && i < 200; i++ {
-			cl := connect(t, p)
-			body := text(c.size)
-			before := refused.Load()
-			go func() { _, _ = io.WriteString(cl, post(fmt.Sprint(i), "Content-Length: "+fmt.Sprint(c.size))+body) }()
-			start := time.Now()
-			resp, got := cl.answer(t)
-			if refused.Load() > before && resp.StatusCode != c.want || resp.StatusCode == 200 && got != body {
-				t.Errorf("%d bytes: got %s with %d bytes", c.size, resp.Status, len(got))
-			}
-			if took := time.Since(start); took > 2*time.Second {
-				t.Errorf("%d bytes: answered after %v", c.size, took)
-			}
-		}
-		if refused.Load() == 0 {
-			t.Errorf("%d bytes: no request met the full backend", c.size)
-		}
-	}
-}
-
-// No answer that is being passed on is cut off by SIGTERM; the process ends with it.
-func TestSIGTERMLeavesLongAnswersTheirTime(t *testing.T) {
-	release := make(chan struct{})
-	b := startReader(t, func(w io.Writer, _ *http.Request, _ []byte) {
-		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n"+text(200_000)[:100_000])
-		<-release
-		_, _ = io.WriteString(w, text(200_000)[100_000:])
-	})
-	p := withBackend(t, b)
-	c := connect(t, p)
-	c.send(t, look("1", 4000))
-	resp, err := http.ReadResponse(c.r, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	p.stop()
-	time.AfterFunc(killDelay+killLeeway+200*time.Millisecond, func() { close(release) })
-	if body, err := io.ReadAll(resp.Body); err != nil || string(body) != text(200_000) {
-		t.Errorf("got %d bytes, %v", len(body), err)
-	}
-	if err := wait(t, "end of Run", p.done); err != nil {
-		t.Error(err)
-	}
-}
-
-// What a client takes to write a body tells nothing of the backends: the module hears of the time from its last byte.
-func TestAnUploadsTimeIsNotTheBackends(t *testing.T) {
-	p := withBackend(t, startReader(t, echo))
+// The time that a client takes to write a body says nothing of the backends: the timeout starts with its last byte.
+func TestStreamedRequestTimeoutStartsAfterUpload(t *testing.T) {
+	p := startWithBackend(t, startBufferingBackend(t, echo))
 	c := connect(t, p)
 	took := make(chan balancer.Microseconds, 1)
-	c.send(t, post("1", "Content-Length: 100000")+text(70_000))
+	c.send(t, postHead("1", "Content-Length: 100000")+distinctText(70_000))
 	var r *request
-	waitUntil(t, func() bool {
+	backendtest.WaitUntil(t, func() bool {
 		got := make(chan *request, 1)
 		p.onLoop(func() { got <- p.loop.requests["1"] })
-		r = wait(t, "word of the loop", got)
+		r = backendtest.Receive(t, "answer of the loop", got)
 		return r != nil
 	})
 	if !r.Streaming {
-		t.Error("it is not passed on as it comes")
+		t.Error("it is not streamed")
 	}
 	time.Sleep(300 * time.Millisecond)
-	go func() { _, _ = io.WriteString(c, text(100_000)[70_000:]) }()
-	if resp, body := c.answer(t); resp.StatusCode != 200 || body != text(100_000) {
+	go func() { _, _ = io.WriteString(c, distinctText(100_000)[70_000:]) }()
+	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != distinctText(100_000) {
 		t.Errorf("got %s with %d bytes", resp.Status, len(body))
 	}
 	p.onLoop(func() { took <- r.Deadline })
-	if left := time.Until(p.loop.clock.Time(wait(t, "word of the loop", took))); left < 3700*time.Millisecond {
+	if left := time.Until(p.loop.clock.Time(backendtest.Receive(t, "answer of the loop", took))); left < 3700*time.Millisecond {
 		t.Errorf("%v were left of 4 s", left)
 	}
 }
 
-// A client that was refused while it still wrote had its connection reset, and with it the answer. It is answered at
-// once, and what it writes is read to the end.
-func TestARefusedClientMayFinishWriting(t *testing.T) {
-	b := startRawBackend(t, func(w io.Writer, r *http.Request) bool {
+// A client that is rejected while it still writes gets its response at once, and what it writes is read to the end: a close
+// would reset the connection, and lose the response.
+func TestRejectedClientMayFinishWriting(t *testing.T) {
+	b := backendtest.StartRaw(t, func(w io.Writer, r *http.Request) bool {
 		_, _ = io.WriteString(w, "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 		return false
 	})
-	p := withBackend(t, b)
+	p := startWithBackend(t, b)
 	const size = 2 << 20
 	c := connect(t, p)
-	c.send(t, post("1", fmt.Sprint("Content-Length: ", size))+text(100_000))
+	c.send(t, postHead("1", fmt.Sprint("Content-Length: ", size))+distinctText(100_000))
 	var first [12]byte
 	if _, err := io.ReadFull(c.r, first[:]); err != nil || string(first[:]) != "HTTP/1.1 503" {
 		t.Fatalf("got %q, %v", first, err)
 	}
 	for left := size - 100_000; left > 0; left -= 100_000 {
 		time.Sleep(50 * time.Millisecond)
-		if _, err := io.WriteString(c, text(min(left, 100_000))); err != nil {
+		if _, err := io.WriteString(c, distinctText(min(left, 100_000))); err != nil {
 			t.Fatalf("with %d bytes left to write: %v", left, err)
 		}
 	}
 	if _, err := io.ReadAll(c.r); err != nil {
 		t.Errorf("the end of the connection: %v", err)
 	}
-	nothingLeft(t, p)
+	waitUntilIdle(t, p)
+}
+
+// A backend closes its connection in the middle of a long response. The client can tell, nobody else gets the request, and
+// nothing is added.
+func TestIncompleteResponseLooksIncomplete(t *testing.T) {
+	for name, head := range map[string]string{"length": "Content-Length: 300000\r\n\r\n", "chunks": "Transfer-Encoding: chunked\r\n\r\n493e0\r\n"} {
+		t.Run(name, func(t *testing.T) {
+			b := startBufferingBackend(t, func(w io.Writer, _ *http.Request, _ []byte) {
+				_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\n"+head+distinctText(200_000))
+				w.(io.Closer).Close()
+			})
+			p := startWithBackend(t, b)
+			c := connect(t, p)
+			c.send(t, lookRequest("1", 4000))
+			resp, err := http.ReadResponse(c.r, nil)
+			if err != nil {
+				t.Fatal(err)
+			}
+			body, err := io.ReadAll(resp.Body)
+			if !errors.Is(err, io.ErrUnexpectedEOF) || !strings.HasPrefix(distinctText(300_000), string(body)) {
+				t.Errorf("got %d bytes, %v", len(body), err)
+			}
+			waitUntilIdle(t, p)
+			if n := b.Requests.Load(); n != 1 {
+				t.Errorf("%d attempts", n)
+			}
+		})
+	}
 }
--- /dev/null
+++ b/internal/proxy/connections_test.go
@@ -0,0 +1,184 @@
+package proxy
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"baylock/internal/backendtest"
+	"baylock/internal/discovery"
+)
+
+// startWithFewConnections starts a proxy with a low limit of client connections, which it returns.
+func startWithFewConnections(t *testing.T, reply backendtest.Responder) (p *runningProxy, most int) {
+	t.Helper()
+	b := backendtest.Start(t, reply)
+	p = startProxy(t, startDiscovery(t).addr, 80, servingList(b))
+	return p, p.clients.Stats().Max
+}
+
+// Idle connections and unused ones are evicted, so that they shut no client with a request out.
+func TestProxyEvictsConnectionsWithoutRequests(t *testing.T) {
+	p, most := startWithFewConnections(t, backendtest.Respond(backendtest.OK, true))
+	for i := range most {
+		c := connect(t, p)
+		if i%2 == 0 {
+			c.send(t, lookRequest(fmt.Sprint("i", i), 4000))
+			c.readResponse(t)
+		}
+	}
+	for i := range 2 * most {
+		c := connect(t, p)
+		c.send(t, lookRequest(fmt.Sprint("n", i), 4000))
+		if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
+			t.Fatalf("newcomer %d: got %s", i, resp.Status)
+		}
+		if n := p.clients.Stats().Open; n > most {
+			t.Fatalf("%d connections of at most %d", n, most)
+		}
+	}
+}
+
+// A connection with an open request is never evicted.
+func TestProxyKeepsConnectionsWithOpenRequests(t *testing.T) {
+	release := make(chan struct{})
+	p, most := startWithFewConnections(t, func(w io.Writer, _ *http.Request, _ int) bool {
+		<-release
+		_, _ = io.WriteString(w, backendtest.OK)
+		return true
+	})
+	var asking []*testClient
+	for i := range most {
+		c := connect(t, p)
+		c.send(t, lookRequest(fmt.Sprint(i), 8000))
+		asking = append(asking, c)
+	}
+	backendtest.WaitUntil(t, func() bool {
+		stats := p.clients.Stats()
+		return stats.Open == most && stats.Unused == 0
+	})
+	over := connect(t, p)
+	if _, err := over.r.ReadByte(); err == nil {
+		t.Error("a connection over the limit got a response")
+	}
+	close(release)
+	for i, c := range asking {
+		if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
+			t.Errorf("request %d: got %s", i, resp.Status)
+		}
+	}
+}
+
+// Idle clients hold all their descriptors, and more connect, while discovery is down: requests, health checks and the console
+// are served, and the list that discovery has at its return is applied.
+func TestProxyServesAmongIdleClientsWhileDiscoveryIsDown(t *testing.T) {
+	a, b := startOKBackend(t), startOKBackend(t)
+	var up atomic.Bool
+	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if !up.Load() {
+			panic(http.ErrAbortHandler)
+		}
+		_, _ = io.WriteString(w, listJSON(2, true, listEntry("a", a.Address, discovery.Draining), listEntry("b", b.Address, discovery.Serving)))
+		time.Sleep(10 * time.Millisecond)
+	}))
+	defer d.Close()
+	p := startWithConsole(t, t.TempDir(), "127.0.0.1:0", strings.TrimPrefix(d.URL, "http://"),
+		listEntry("a", a.Address, discovery.Serving), listEntry("b", b.Address, discovery.Serving))
+	most := p.clients.Stats().Max
+	for i := range 2 * most {
+		switch c := connect(t, p); i % 3 {
+		case 0: // silent
+		case 1:
+			c.send(t, "GET /lo")
+		case 2:
+			c.send(t, lookRequest(time.Now().String(), 4000))
+			c.readResponse(t)
+		}
+	}
+	for _, r := range []struct {
+		what string
+		got  int
+	}{{"health check", p.health(t)}, {"console", callConsole(t, p, "GET /_ready", "")}} {
+		if r.got != http.StatusOK {
+			t.Errorf("%s: got %d", r.what, r.got)
+		}
+	}
+	if ok := p.serveLookups(t, 20); ok != 20 {
+		t.Errorf("%d of 20 served", ok)
+	}
+	up.Store(true)
+	backendtest.WaitUntil(t, func() bool { _, ok := p.loop.pool.Find("a"); return !ok })
+	before := a.Requests.Load()
+	if ok := p.serveLookups(t, 20); ok != 20 || a.Requests.Load() != before {
+		t.Errorf("after discovery's return %d of 20 served, %d by a backend that drains", ok, a.Requests.Load()-before)
+	}
+	if n := p.clients.Stats().Open; n > most {
+		t.Errorf("%d connections of at most %d", n, most)
+	}
+}
+
+// A process that begins to share its descriptors with another closes what idle clients hold over its half.
+func TestHalvedLimitsCloseIdleConnections(t *testing.T) {
+	p, most := startWithFewConnections(t, backendtest.Respond(backendtest.OK, true))
+	for range most {
+		c := connect(t, p)
+		c.send(t, lookRequest(time.Now().String(), 4000))
+		c.readResponse(t)
+	}
+	p.limits.setAlone(false)
+	if n, most := p.clients.Stats().Open, p.clients.Stats().Max; n > most {
+		t.Errorf("%d connections of at most %d", n, most)
+	}
+}
+
+// The first byte of the next request may be read while the response before it is being written. Then nothing is left to read
+// on the connection, and nothing has arrived since it fell idle.
+func TestCloseIdleKeepsConnectionWithOneByteOfRequest(t *testing.T) {
+	release := make(chan struct{})
+	p, b := startServing(t, respondAfter(release))
+	c := connect(t, p)
+	c.send(t, lookRequest("h", 8000))
+	backendtest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
+	c.send(t, lookRequest("2", 8000)[:1])
+	conn := p.onlyConnection(t)
+	backendtest.WaitUntil(t, conn.RequestStarted)
+	close(release)
+	c.readResponse(t)
+	backendtest.WaitUntil(t, func() bool { return p.clients.Stats().Idle == 1 })
+	if others, taken := p.clients.CloseIdle(0, 0); others != 1 || taken != 0 {
+		t.Errorf("%d others, %d taken", others, taken)
+	}
+	c.send(t, lookRequest("2", 8000)[1:])
+	if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
+		t.Errorf("got %s", resp.Status)
+	}
+}
+
+// A request has been read, but not reported by net/http, on a connection that is closed as idle: its client sends it again
+// elsewhere, so it may not run from here.
+func TestRequestCrossingIdleCloseIsNotForwarded(t *testing.T) {
+	b := startOKBackend(t)
+	read, proceed := make(chan struct{}), make(chan struct{})
+	p := startAdjusted(t, func(p *Proxy) {
+		p.clients.Listener = gatedListener{Listener: p.clients.Listener, gate: func(c net.Conn) net.Conn {
+			return gatedConn{c.(*net.TCPConn), func() { close(read); <-proceed }}
+		}}
+	}, servingList(b))
+	c := connect(t, p)
+	c.send(t, shortPost("1"))
+	backendtest.Receive(t, "read", read)
+	if others, _ := p.clients.CloseIdle(0, 0); others != 0 {
+		t.Errorf("%d connections were left open", others)
+	}
+	close(proceed)
+	if _, err := c.r.ReadByte(); err == nil {
+		t.Error("a response on a closed connection")
+	}
+	checkBegun(t, p, b, 0)
+}
--- /dev/null
+++ b/internal/proxy/disconnect_test.go
@@ -0,0 +1,234 @@
+package proxy
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"baylock/internal/backendtest"
+	"baylock/internal/socket"
+)
+
+// disconnects are the ways in which a client disconnects, with the request that it has sent by then.
+var disconnects = map[string]struct {
+	request func(id string) string
+	leave   func(t *testing.T, c *testClient)
+}{
+	"closes":                      {shortPost, func(_ *testing.T, c *testClient) { c.Close() }},
+	"resets":                      {shortPost, resetConnection},
+	"half-closes":                 {shortPost, func(_ *testing.T, c *testClient) { _ = c.Conn.(*net.TCPConn).CloseWrite() }},
+	"half-closes during the body": {longPost, func(_ *testing.T, c *testClient) { _ = c.Conn.(*net.TCPConn).CloseWrite() }},
+	"closes after more bytes":     {shortPost, closeAfterMoreBytes},
+	"resets after more bytes":     {shortPost, func(t *testing.T, c *testClient) { c.send(t, "GET /"); resetConnection(t, c) }},
+	"closes during the body":      {longPost, func(_ *testing.T, c *testClient) { c.Close() }},
+	"resets during the body":      {longPost, resetConnection},
+	"closes after part of the body": {longPost, func(t *testing.T, c *testClient) {
+		c.send(t, distinctText(1000))
+		c.Close()
+	}},
+}
+
+func resetConnection(t *testing.T, c *testClient) {
+	t.Helper()
+	if err := c.Conn.(*net.TCPConn).SetLinger(0); err != nil {
+		t.Fatal(err)
+	}
+	c.Close()
+}
+
+func closeAfterMoreBytes(t *testing.T, c *testClient) {
+	t.Helper()
+	c.send(t, "GET /")
+	c.Close()
+}
+
+// waitForConnectedClients waits until only n clients have not disconnected.
+func waitForConnectedClients(t *testing.T, p *Proxy, n int) {
+	t.Helper()
+	backendtest.WaitUntil(t, func() bool {
+		here := 0
+		for _, c := range p.clients.Connections() {
+			if !c.ClientGone() {
+				here++
+			}
+		}
+		return here == n
+	})
+}
+
+// Nothing is sent for a client that has gone while its request waited, wherever that was. net/http does not notice one that
+// goes behind bytes which nobody reads.
+func TestNothingIsSentForGoneClient(t *testing.T) {
+	for how, l := range disconnects {
+		t.Run("before the read, "+how, func(t *testing.T) {
+			t.Parallel()
+			b := startOKBackend(t)
+			left, accepted := make(chan struct{}), make(chan struct{})
+			p := startAdjusted(t, func(p *Proxy) {
+				p.clients.Listener = gatedListener{Listener: p.clients.Listener, gate: func(c net.Conn) net.Conn {
+					<-left
+					for !socket.PeerClosed(c) {
+						time.Sleep(time.Millisecond)
+					}
+					close(accepted)
+					return c
+				}}
+			}, servingList(b))
+			c := connect(t, p)
+			c.send(t, l.request("1"))
+			l.leave(t, c)
+			close(left)
+			backendtest.Receive(t, "accept", accepted)
+			checkBegun(t, p, b, 0)
+		})
+		t.Run("during a slow dial, "+how, func(t *testing.T) {
+			t.Parallel()
+			b := startOKBackend(t)
+			dialling, proceed := make(chan struct{}), make(chan struct{})
+			p := startAdjusted(t, func(p *Proxy) {
+				dial := p.loop.pool.DialContext
+				p.loop.pool.DialContext = func(_ context.Context, network, addr string) (net.Conn, error) {
+					c, err := dial(context.Background(), network, addr)
+					close(dialling)
+					<-proceed
+					return c, err
+				}
+			}, servingList(b))
+			c := connect(t, p)
+			c.send(t, l.request("1"))
+			backendtest.Receive(t, "dial", dialling)
+			l.leave(t, c)
+			waitForConnectedClients(t, p.Proxy, 0)
+			close(proceed)
+			checkBegun(t, p, b, 0)
+		})
+		t.Run("between attempts, "+how, func(t *testing.T) {
+			t.Parallel()
+			b := startOKBackend(t)
+			dialling, proceed := make(chan struct{}), make(chan struct{})
+			first := true
+			p := startAdjusted(t, func(p *Proxy) {
+				dial := p.loop.pool.DialContext
+				p.loop.pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+					if !first {
+						return dial(ctx, network, addr)
+					}
+					first = false
+					close(dialling)
+					<-proceed
+					return nil, net.ErrClosed
+				}
+			}, servingList(b, b))
+			c := connect(t, p)
+			c.send(t, l.request("1"))
+			backendtest.Receive(t, "dial", dialling)
+			l.leave(t, c)
+			waitForConnectedClients(t, p.Proxy, 0)
+			close(proceed)
+			checkBegun(t, p, b, 0)
+		})
+		t.Run("in the balancer's queue, "+how, func(t *testing.T) {
+			t.Parallel()
+			release := make(chan struct{})
+			b := backendtest.Start(t, respondAfter(release))
+			p := startAdjusted(t, func(*Proxy) {}, servingList(b),
+				`"name":"post"`, `"by_arrival":true,"name":"post"`)
+			first := connect(t, p)
+			first.send(t, shortPost("h"))
+			backendtest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
+			c := connect(t, p)
+			c.send(t, l.request("1"))
+			backendtest.WaitUntil(t, func() bool { return p.hasRequest("1") })
+			l.leave(t, c)
+			waitForConnectedClients(t, p.Proxy, 1)
+			close(release)
+			if resp, _ := first.readResponse(t); resp.StatusCode != 200 {
+				t.Errorf("the first: got %s", resp.Status)
+			}
+			first.Close()
+			checkBegun(t, p, b, 1)
+		})
+	}
+}
+
+func TestDisconnectCancelsAttempt(t *testing.T) {
+	came := make(chan struct{}, 1)
+	gone := make(chan struct{}, 1)
+	p, _ := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
+		came <- struct{}{}
+		_, _ = w.(net.Conn).Read(make([]byte, 1))
+		gone <- struct{}{}
+		return false
+	})
+	c := connect(t, p)
+	c.send(t, lookRequest("1", 8000))
+	backendtest.Receive(t, "request", came)
+	c.Close()
+	backendtest.Receive(t, "end of the attempt", gone)
+	backendtest.WaitUntil(t, func() bool { // nothing is left of it
+		left := make(chan int, 1)
+		p.onLoop(func() { left <- len(p.loop.requests) })
+		return backendtest.Receive(t, "answer of the loop", left) == 0
+	})
+}
+
+func TestDisconnectDuringShortBodyForwardsNothing(t *testing.T) {
+	p, b := startServing(t, backendtest.Respond(backendtest.OK, true))
+	c := connect(t, p)
+	c.send(t, postHead("3", "Content-Length: 9")+"abc")
+	backendtest.WaitUntil(t, func() bool { return p.clients.Stats().Open == 1 })
+	c.Close()
+	backendtest.WaitUntil(t, func() bool { return p.clients.Stats().Open == 0 })
+	if n := b.Requests.Load(); n != 0 {
+		t.Errorf("%d requests were forwarded", n)
+	}
+}
+
+// A client that disconnects while it writes or reads a long body leaves nothing behind, and the backend's connection is
+// closed. One that only pauses gets an error.
+func TestDisconnectDuringLongBodyLeavesNothing(t *testing.T) {
+	stop := make(chan struct{})
+	b := backendtest.StartRaw(t, func(w io.Writer, r *http.Request) bool {
+		if _, err := io.Copy(io.Discard, r.Body); err != nil {
+			return false
+		}
+		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 1<<20, distinctText(100_000))
+		<-stop
+		return false
+	})
+	defer close(stop)
+	p := startWithBackend(t, b)
+	for i := range 3 {
+		c := connect(t, p)
+		c.send(t, postHead(fmt.Sprint("u", i), "Content-Length: 300000")+distinctText(100_000))
+		backendtest.WaitUntil(t, func() bool { return int(b.Begun.Load()) == i+1 })
+		c.Close()
+		backendtest.Receive(t, "end of the backend's connection", b.Closed)
+		waitUntilIdle(t, p)
+	}
+	c := connect(t, p)
+	c.send(t, postHead("stops", "Content-Length: 300000")+distinctText(100_000))
+	if resp, _ := c.readResponse(t); resp.StatusCode != 400 || !resp.Close {
+		t.Errorf("a client that pauses: got %s", resp.Status)
+	}
+	backendtest.Receive(t, "end of the backend's connection", b.Closed)
+	waitUntilIdle(t, p)
+	if n := b.Requests.Load(); n != 0 {
+		t.Errorf("%d requests arrived completely", n)
+	}
+	c = connect(t, p)
+	c.send(t, postHead("d", "Content-Length: 0"))
+	resp, err := http.ReadResponse(c.r, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.CopyN(io.Discard, resp.Body, 50_000); err != nil {
+		t.Fatal(err)
+	}
+	c.Close()
+	waitUntilIdle(t, p)
+}
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -65,7 +65,7 @@
 // learnedStateQueried asks for what the balancer has learned.
 type learnedStateQueried struct{ learned balancer.LearnedState }
 
-// shutdownBegun: the process has been told to end.
+// shutdownBegun: the process shuts down.
 type shutdownBegun struct {
 	cutoff          balancer.Microseconds // all requests end by then
 	streamingCutoff balancer.Microseconds // requests completed later get no streamed response; 0 for no such limit
--- /dev/null
+++ b/internal/proxy/fakelistener_test.go
@@ -0,0 +1,86 @@
+package proxy
+
+import (
+	"errors"
+	"net"
+	"syscall"
+	"testing"
+
+	"baylock/internal/clientconn"
+)
+
+// gatedConn blocks what it has read until the gate returns.
+type gatedConn struct {
+	*net.TCPConn
+	gate func()
+}
+
+func (c gatedConn) Read(b []byte) (int, error) {
+	n, err := c.TCPConn.Read(b)
+	if n > 0 {
+		c.gate()
+	}
+	return n, err
+}
+
+// gatedListener wraps a listener. Each function may be nil.
+type gatedListener struct {
+	net.Listener
+	gate      func(net.Conn) net.Conn // wraps an accepted connection
+	onInspect func()                  // called when the socket is inspected
+	onClose   func()                  // called after the close
+}
+
+func (l gatedListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
+	if err == nil && l.gate != nil {
+		c = l.gate(c)
+	}
+	return c, err
+}
+
+func (l gatedListener) Close() error {
+	err := l.Listener.Close()
+	if l.onClose != nil {
+		l.onClose()
+	}
+	return err
+}
+
+func (l gatedListener) SyscallConn() (syscall.RawConn, error) {
+	if l.onInspect != nil {
+		l.onInspect()
+	}
+	return l.Listener.(syscall.Conn).SyscallConn()
+}
+
+// failingListener fails for good once fail is closed.
+type failingListener struct {
+	net.Listener
+	fail <-chan struct{}
+}
+
+var errListenerFailed = errors.New("the listener has failed")
+
+func (l failingListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
+	select {
+	case <-l.fail:
+		if err == nil {
+			c.Close()
+		}
+		return nil, errListenerFailed
+	default:
+		return c, err
+	}
+}
+
+// onlyConnection returns the only connection of a client.
+func (p *runningProxy) onlyConnection(t *testing.T) *clientconn.Conn {
+	t.Helper()
+	connections := p.clients.Connections()
+	if len(connections) != 1 {
+		t.Fatalf("%d connections of clients", len(connections))
+	}
+	return connections[0]
+}
--- /dev/null
+++ b/internal/proxy/forwarding_test.go
@@ -0,0 +1,89 @@
+package proxy
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"baylock/internal/backendtest"
+	"baylock/internal/upstream"
+)
+
+func TestProxyForwardsRequestsOfAllClasses(t *testing.T) {
+	p, b := startServing(t, backendtest.Respond(backendtest.OK, true))
+	c := connect(t, p)
+	for _, request := range []struct{ class, text string }{
+		{"look", lookRequest("1", 4000)},
+		{"rate", "POST /rate/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 2\r\nRequest-Class: rate\r\nRequest-Timeout-Ms: 4000\r\n" +
+			"Idempotency-Key: x\r\nContent-Length: 3\r\n\r\nabc"},
+		{"post", shortPost("3")},
+	} {
+		t.Run(request.class, func(t *testing.T) {
+			c.send(t, request.text)
+			if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
+				t.Errorf("got %s %q", resp.Status, body)
+			}
+			time.Sleep(upstream.ReuseDelay) // idle connections may be used again
+		})
+	}
+	if b.Requests.Load() != 3 || b.Connections.Load() != 1 {
+		t.Errorf("%d requests on %d connections", b.Requests.Load(), b.Connections.Load())
+	}
+}
+
+// A 4xx response is no evidence against a backend, and no other backend gets the request.
+func TestProxyForwardsClientErrorsOfBackends(t *testing.T) {
+	p, b := startServing(t, func(w io.Writer, r *http.Request, _ int) bool {
+		if r.URL.RawQuery != "" {
+			_, _ = io.WriteString(w, "HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n")
+		} else {
+			_, _ = io.WriteString(w, backendtest.OK)
+		}
+		return true
+	})
+	for i := range 40 {
+		c := connect(t, p)
+		c.send(t, strings.Replace(lookRequest(fmt.Sprint(i), 4000), "/k", "/k?v=1", 1))
+		if resp, _ := c.readResponse(t); resp.StatusCode != 400 {
+			t.Fatalf("got %s", resp.Status)
+		}
+	}
+	if n := b.Requests.Load(); n != 40 {
+		t.Errorf("%d attempts for 40 requests", n)
+	}
+	c := connect(t, p)
+	c.send(t, lookRequest("good", 4000))
+	if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
+		t.Errorf("then got %s", resp.Status)
+	}
+}
+
+func TestRejectedRequestGetsRetryAfter(t *testing.T) {
+	p, b := startServing(t, backendtest.Respond("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", true))
+	c := connect(t, p)
+	c.send(t, lookRequest("1", 8000))
+	resp, _ := c.readResponse(t)
+	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
+		t.Errorf("got %s %v", resp.Status, resp.Header)
+	}
+	if n := b.Requests.Load(); n < 1 || n > 3 {
+		t.Errorf("%d attempts", n)
+	}
+}
+
+func TestProxyFailsRequestOfHungBackend(t *testing.T) {
+	p, b := startServing(t, backendtest.Hang(t))
+	c := connect(t, p)
+	start := time.Now()
+	c.send(t, "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nRequest-Timeout-Ms: 1000\r\nContent-Length: 0\r\n\r\n")
+	resp, _ := c.readResponse(t)
+	if resp.StatusCode != http.StatusBadGateway && resp.StatusCode != http.StatusGatewayTimeout {
+		t.Errorf("got %s after %v", resp.Status, time.Since(start))
+	}
+	if n := b.Requests.Load(); n != 1 {
+		t.Errorf("a request that is not idempotent was sent %d times", n)
+	}
+}
--- /dev/null
+++ b/internal/proxy/helpers_test.go
@@ -0,0 +1,227 @@
+package proxy
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"baylock/internal/backendtest"
+	"baylock/internal/config"
+	"baylock/internal/discovery"
+	"baylock/internal/settings"
+)
+
+const siteText = `{"contract":{"cold_us":1000000,"start_capacity":0.3},"failure_domains":["a"],"limits":{` +
+	`"dial_timeout_us":5000000,"idle_close_us":30000000,"max_retry_after_us":2000000,"retry_after":true,"try_limit":3},` +
+	`"membership_mode":"automatic","my_zone":0,"ordinal":0,"profiles":[` +
+	`{"give_up_us":8000000,"name":"look","objective_us":4000000,"repeat":"idempotent","worth":1},` +
+	`{"dedup_scope":"cell","dedup_window_us":9000000,"give_up_us":8000000,"name":"rate","objective_us":1000000,"late_share":0.5,"repeat":"deduplicated","worth":1},` +
+	`{"give_up_us":8000000,"name":"post","objective_us":4000000,"repeat":"at_most_once","worth":1}],` +
+	`"siblings":1,"stage":0,"tenants":[{"name":"acme","portion":1,"quota_per_s":1000}],"weights":"off"}`
+
+// runningProxy is a proxy in Run. stop is SIGTERM to it, done receives what Run returned.
+type runningProxy struct {
+	*Proxy
+	stop context.CancelFunc
+	done chan error
+}
+
+// startProxy starts a proxy with the test settings. known is the list that it starts with, or empty.
+func startProxy(t *testing.T, discoveryAddress string, sockets int, known string) *runningProxy {
+	t.Helper()
+	return startProxyWith(t, siteText, discoveryAddress, sockets, known)
+}
+
+// startProxyWith starts a proxy as startProxy does, with other settings.
+func startProxyWith(t *testing.T, site, discoveryAddress string, sockets int, known string) *runningProxy {
+	t.Helper()
+	return start(t, testConfig(t, site, discoveryAddress, sockets, known))
+}
+
+// testConfig returns the configuration of a proxy without console. known is the list that it starts with, or empty.
+func testConfig(t *testing.T, site, discoveryAddress string, sockets int, known string) config.Config {
+	t.Helper()
+	cfg := config.Config{Listen: "127.0.0.1:0", Discovery: discoveryAddress, Seed: 7, Limits: config.Limits{Sockets: sockets}}
+	var err error
+	if cfg.Site, err = settings.Decode([]byte(site)); err != nil {
+		t.Fatal(err)
+	}
+	if known == "" {
+		return cfg
+	}
+	if cfg.Known, err = discovery.ParseList([]byte(known)); err != nil {
+		t.Fatal(err)
+	}
+	return cfg
+}
+
+func start(t *testing.T, cfg config.Config) *runningProxy {
+	t.Helper()
+	p, err := New(cfg, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return run(t, p)
+}
+
+func run(t *testing.T, p *Proxy) *runningProxy {
+	t.Helper()
+	ctx, stop := context.WithCancel(context.Background())
+	r := &runningProxy{Proxy: p, stop: stop, done: make(chan error, 1)}
+	ended := make(chan struct{})
+	go func() { defer close(ended); r.done <- p.Run(ctx) }()
+	t.Cleanup(func() { stop(); backendtest.Receive(t, "end of the proxy", ended) })
+	return r
+}
+
+// startOKBackend starts a backend that responds to all requests with 200.
+func startOKBackend(t *testing.T) *backendtest.Backend {
+	t.Helper()
+	return backendtest.Start(t, backendtest.Respond(backendtest.OK, true))
+}
+
+// startServing starts a proxy that lists one backend.
+func startServing(t *testing.T, reply backendtest.Responder) (*runningProxy, *backendtest.Backend) {
+	t.Helper()
+	b := backendtest.Start(t, reply)
+	return startProxy(t, startDiscovery(t).addr, 200, servingList(b)), b
+}
+
+// startWithBackend starts a proxy that lists a backend, with more connections than startServing.
+func startWithBackend(t *testing.T, b *backendtest.Backend) *runningProxy {
+	t.Helper()
+	return startProxy(t, startDiscovery(t).addr, 400, servingList(b))
+}
+
+// startAdjusted starts a proxy with the test settings, of which pairs of texts are replaced. adjust may change it before
+// Run.
+func startAdjusted(t *testing.T, adjust func(*Proxy), backends string, replace ...string) *runningProxy {
+	t.Helper()
+	site := strings.NewReplacer(replace...).Replace(siteText)
+	p, err := New(testConfig(t, site, startDiscovery(t).addr, 200, backends), slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	adjust(p)
+	return run(t, p)
+}
+
+// testClient is a connection of a client.
+type testClient struct {
+	net.Conn
+	r *bufio.Reader
+}
+
+func connect(t *testing.T, p *runningProxy) *testClient {
+	t.Helper()
+	c, err := net.Dial("tcp", p.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	_ = c.SetDeadline(time.Now().Add(backendtest.Patience))
+	return newClient(c)
+}
+
+func newClient(c net.Conn) *testClient { return &testClient{c, bufio.NewReader(c)} }
+
+func (c *testClient) send(t *testing.T, text string) {
+	t.Helper()
+	if _, err := io.WriteString(c, text); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func (c *testClient) readResponse(t *testing.T) (*http.Response, string) {
+	t.Helper()
+	resp, err := http.ReadResponse(c.r, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return resp, string(body)
+}
+
+// inspection is an event that has the loop call a function.
+type inspection func()
+
+func (f inspection) handle(*eventLoop) { f() }
+
+// onLoop has the proxy's loop call a function.
+func (p *runningProxy) onLoop(f func()) { p.loop.post(inspection(f)) }
+
+// waitUntilIdle waits until nothing is left of any request.
+func waitUntilIdle(t *testing.T, p *runningProxy) {
+	t.Helper()
+	backendtest.WaitUntil(t, func() bool {
+		left := make(chan int, 1)
+		p.onLoop(func() { left <- len(p.loop.requests) + p.loop.timers.Len() })
+		n := backendtest.Receive(t, "answer of the loop", left)
+		pool := p.loop.pool.Stats()
+		return n == 0 && pool.Open == pool.Idle && p.limits.budget.InUse() == 0
+	})
+}
+
+// hasRequest reports whether a request is in the table of the loop.
+func (p *runningProxy) hasRequest(id string) bool {
+	got := make(chan bool, 1)
+	p.onLoop(func() { got <- p.loop.requests[id] != nil })
+	return <-got
+}
+
+// checkBegun waits until nothing is left of any request, and checks how many have begun to arrive at the backend.
+func checkBegun(t *testing.T, p *runningProxy, b *backendtest.Backend, n int32) {
+	t.Helper()
+	backendtest.WaitUntil(t, func() bool { return p.clients.Stats().Open == 0 })
+	waitUntilIdle(t, p)
+	p.loop.pool.ApplyEndpoints(true, nil) // closes what is idle, so that the backend has read all that was sent
+	backendtest.WaitUntil(t, func() bool { return len(b.Closed) == int(b.Connections.Load()) })
+	if got := b.Begun.Load(); got != n {
+		t.Errorf("%d requests were begun", got)
+	}
+}
+
+func lookRequest(id string, ms int) string {
+	return fmt.Sprintf("GET /look/k HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nRequest-Class: look\r\nTenant: acme\r\n"+
+		"Request-Timeout-Ms: %d\r\n\r\n", id, ms)
+}
+
+// postHead is the head of a request that is not idempotent, up to its Content-Length.
+func postHead(id, length string) string {
+	return "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nRequest-Class: post\r\n" +
+		"Request-Timeout-Ms: 4000\r\n" + length + "\r\n\r\n"
+}
+
+func shortPost(id string) string { return postHead(id, "Content-Length: 3") + "abc" }
+
+func longPost(id string) string { return postHead(id, "Content-Length: 300000") + distinctText(70_000) }
+
+// distinctText returns a body of n bytes, no two parts of which are the same.
+func distinctText(n int) string {
+	var b strings.Builder
+	for i := 0; b.Len() < n; i++ {
+		fmt.Fprintf(&b, "%07d ", i)
+	}
+	return b.String()[:n]
+}
+
+// respondAfter responds to requests; to those whose ID begins with h only after the release.
+func respondAfter(release <-chan struct{}) backendtest.Responder {
+	return func(w io.Writer, r *http.Request, _ int) bool {
+		if r.Header.Get("Request-Id")[0] == 'h' {
+			<-release
+		}
+		_, _ = io.WriteString(w, backendtest.OK)
+		return true
+	}
+}
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -97,7 +97,7 @@
 
 // handleNext waits for something to happen and handles it. It reports false when the context has ended.
 func (l *eventLoop) handleNext(ctx context.Context, alarm *time.Timer, sweep *time.Ticker) bool {
-	// Updates of the list come first: nothing may go to an endpoint that is known to drain.
+	// Updates of the list have priority: nothing may be sent to an endpoint that is known to drain.
 	select {
 	case update := <-l.updates:
 		l.applyUpdate(update)
@@ -146,7 +146,7 @@
 	}
 }
 
-// applyUpdate applies what discovery has said of the endpoint list.
+// applyUpdate applies an update of the endpoint list, or a failed call for one.
 func (l *eventLoop) applyUpdate(update discovery.Update) {
 	if update.List == nil {
 		l.balancer.UpdateEndpoints(l.clock.Now(), l, balancer.FailedUpdate, nil)
--- /dev/null
+++ b/internal/proxy/memory_test.go
@@ -0,0 +1,110 @@
+package proxy
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"net/http"
+	"runtime"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"baylock/internal/backendtest"
+)
+
+// Many long bodies at once, together far over the limit, are read slowly: memory in use stays small, and buffered bodies
+// stay within the budget.
+func TestProxyBoundsMemoryOfManyLongBodies(t *testing.T) {
+	const size, many = 4 << 20, 60
+	body := bytes.Repeat([]byte("0123456789abcdef"), size/16)
+	b := backendtest.StartRaw(t, func(w io.Writer, r *http.Request) bool {
+		_, err := io.Copy(io.Discard, r.Body)
+		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
+		_, _ = w.Write(body)
+		return err == nil
+	})
+	cfg := testConfig(t, siteText, startDiscovery(t).addr, 1024, servingList(b))
+	cfg.Limits.MemoryMB = 32
+	p := start(t, cfg)
+	var before, now runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&before)
+	var all sync.WaitGroup
+	var most atomic.Uint64
+	var whole atomic.Int32
+	for i := range many {
+		c := connect(t, p)
+		all.Go(func() {
+			go func() {
+				_, _ = io.WriteString(c, postHead(fmt.Sprint("r", i), fmt.Sprint("Content-Length: ", size)))
+				_, _ = c.Write(body)
+			}()
+			resp, err := http.ReadResponse(c.r, nil)
+			if err == nil && resp.StatusCode == 503 { // on a busy machine the rules may refuse some
+				return
+			}
+			if err != nil || resp.StatusCode != 200 {
+				t.Errorf("got %v, %v", resp, err)
+				return
+			}
+			whole.Add(1)
+			got := 0
+			buf := make([]byte, 256<<10)
+			for {
+				n, err := resp.Body.Read(buf)
+				if got += n; err == io.EOF {
+					break
+				} else if err != nil {
+					t.Errorf("after %d bytes: %v", got, err)
+					return
+				}
+				time.Sleep(time.Millisecond)
+			}
+			if got != size {
+				t.Errorf("got %d bytes", got)
+			}
+		})
+	}
+	done := make(chan struct{})
+	go func() { all.Wait(); close(done) }()
+	for end := false; !end; {
+		select {
+		case <-done:
+			end = true
+		case <-time.After(20 * time.Millisecond):
+			runtime.ReadMemStats(&now)
+			most.Store(max(most.Load(), now.HeapInuse))
+			if n := p.limits.budget.InUse(); n > p.limits.budget.Limit() {
+				t.Fatalf("%d bytes are reserved of at most %d", n, p.limits.budget.Limit())
+			}
+		}
+	}
+	if n := whole.Load(); n < many/3 {
+		t.Errorf("%d of %d were served", n, many)
+	}
+	// The clients' own buffers are counted in.
+	if grown := int64(most.Load()) - int64(before.HeapInuse); grown > (32<<20)+many*(256<<10) {
+		t.Errorf("%d MB more memory in use", grown>>20)
+	}
+	backendtest.WaitUntil(t, func() bool { return p.limits.budget.InUse() == 0 })
+}
+
+// Without budget a body is streamed at once rather than buffered.
+func TestProxyStreamsBodyWhenBudgetIsExhausted(t *testing.T) {
+	p := startWithBackend(t, startBufferingBackend(t, echo))
+	all := p.limits.budget.Reserve()
+	if !all.Grow(p.limits.budget.Limit()) {
+		t.Fatal("the budget is exhausted already")
+	}
+	c := connect(t, p)
+	c.send(t, postHead("1", "Content-Length: 30000")+distinctText(30000))
+	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != distinctText(30000) {
+		t.Errorf("got %s with %d bytes", resp.Status, len(body))
+	}
+	all.Release()
+	if all.Grow(1) || p.limits.budget.InUse() != 0 {
+		t.Error("a reservation grows after its release")
+	}
+}
--- a/internal/proxy/operations.go
+++ b/internal/proxy/operations.go
@@ -55,8 +55,7 @@
 		p.applyState(ctx))
 }
 
-// changeBackend changes what operators have said of one backend and carries it out. The backend has to be detached or
-// listed.
+// changeBackend edits the operators' state of one backend and applies it. The backend has to be detached or listed.
 func (p *Proxy) changeBackend(ctx context.Context, id string, edit func(*operatorstate.State)) error {
 	known := func(state operatorstate.State) error {
 		if slices.Contains(state.Detached, id) {
@@ -74,7 +73,7 @@
 	return p.operatorState.Change(known, edit, p.applyState(ctx))
 }
 
-// applyState returns the function that carries out what operators have said.
+// applyState returns the function that applies the operators' state to this process.
 func (p *Proxy) applyState(ctx context.Context) func(operatorstate.State) error {
 	return func(state operatorstate.State) error {
 		p.server.SetLameDuck(state.LameDuck)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -97,7 +97,7 @@
 }
 
 // openOperatorState returns the store that this proxy's processes share, or one in memory where there is no folder for it,
-// no operator who could say anything, or it can't be opened.
+// no console to change it, or it can't be opened.
 func openOperatorState(cfg config.Config, log *slog.Logger) *operatorstate.Store {
 	if cfg.TempDir == "" || cfg.Console == "" {
 		return operatorstate.NewInMemory(log)
@@ -110,7 +110,7 @@
 	return store
 }
 
-// restoreState gives the loop what operators have said and the endpoint list as last known, before it runs.
+// restoreState gives the loop the operators' state and the endpoint list as last known, before it runs.
 func (p *Proxy) restoreState() {
 	operators := p.operatorState.Current()
 	p.loop.setDetached(operators.Detached)
@@ -127,7 +127,7 @@
 func (p *Proxy) importLearned() {
 	learned, recent, err := p.operatorState.LoadLearned()
 	if err != nil {
-		p.log.Error("learned state is not taken", "error", err)
+		p.log.Error("learned state is not loaded", "error", err)
 		return
 	}
 	if recent {
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -11,14 +11,14 @@
 	"time"
 
 	"baylock/balancer"
+	"baylock/internal/backendtest"
 	"baylock/internal/config"
-	"baylock/internal/discovery"
 	"baylock/internal/settings"
 	"baylock/internal/upstream"
 )
 
-// changed is the configuration of a running proxy with pairs of texts of the test settings replaced.
-func changed(t *testing.T, p *running, version string, replace ...string) config.Config {
+// changedConfig is the configuration of a running proxy with pairs of texts of the test settings replaced.
+func changedConfig(t *testing.T, p *runningProxy, version string, replace ...string) config.Config {
 	t.Helper()
 	for i := 0; i < len(replace); i += 2 {
 		if !strings.Contains(siteText, replace[i]) {
@@ -34,7 +34,7 @@
 	return cfg
 }
 
-func (p *running) mustReload(t *testing.T, cfg config.Config) {
+func (p *runningProxy) mustReload(t *testing.T, cfg config.Config) {
 	t.Helper()
 	if err := p.Reload(cfg); err != nil {
 		t.Fatal(err)
@@ -47,51 +47,51 @@
 	postProfile = `{"give_up_us":8000000,"name":"post","objective_us":4000000,"repeat":"at_most_once","worth":1}`
 )
 
-func scan(id string) string { return strings.ReplaceAll(look(id, 4000), "look", "scan") }
+func scanRequest(id string) string { return strings.ReplaceAll(lookRequest(id, 4000), "look", "scan") }
 
 // status sends a request on a connection of its own and returns the answer's status.
-func (p *running) status(t *testing.T, text string) int {
+func (p *runningProxy) status(t *testing.T, text string) int {
 	t.Helper()
 	c := connect(t, p)
 	defer c.Close()
 	c.send(t, text)
-	resp, _ := c.answer(t)
+	resp, _ := c.readResponse(t)
 	return resp.StatusCode
 }
 
 func TestReloadAppliesSettings(t *testing.T) {
 	left := make(chan int, 10)
-	p, _ := serving(t, func(w io.Writer, r *http.Request, _ int) bool {
+	p, _ := startServing(t, func(w io.Writer, r *http.Request, _ int) bool {
 		ms, _ := strconv.Atoi(r.Header.Get("Request-Timeout-Ms"))
 		left <- ms
-		_, _ = io.WriteString(w, served)
+		_, _ = io.WriteString(w, backendtest.OK)
 		return true
 	})
 	long := strings.Replace(shortPost("p"), "Timeout-Ms: 4000", "Timeout-Ms: 60000", 1)
-	if got := p.status(t, scan("1")); got != 400 {
+	if got := p.status(t, scanRequest("1")); got != 400 {
 		t.Errorf("an unknown class: %d", got)
 	}
 	if got := p.status(t, long); got != 200 {
 		t.Errorf("before: %d", got)
 	}
-	if ms := wait(t, "request", left); ms > 4000 {
+	if ms := backendtest.Receive(t, "request", left); ms > 4000 {
 		t.Errorf("a backend was given %d ms before", ms)
 	}
 
-	p.mustReload(t, changed(t, p, "", lookProfile, scanProfile,
+	p.mustReload(t, changedConfig(t, p, "", lookProfile, scanProfile,
 		postProfile, strings.NewReplacer("8000000", "50000000", "4000000", "40000000").Replace(postProfile),
 		`"dial_timeout_us":5000000`, `"dial_timeout_us":70000`, `"idle_close_us":30000000`, `"idle_close_us":4000000`))
-	if got := p.status(t, scan("2")); got != 200 {
+	if got := p.status(t, scanRequest("2")); got != 200 {
 		t.Errorf("a new class: %d", got)
 	}
-	wait(t, "request", left)
-	if got := p.status(t, look("3", 4000)); got != 400 {
+	backendtest.Receive(t, "request", left)
+	if got := p.status(t, lookRequest("3", 4000)); got != 400 {
 		t.Errorf("a removed class: %d", got)
 	}
 	if got := p.status(t, long); got != 200 {
 		t.Errorf("after: %d", got)
 	}
-	if ms := wait(t, "request", left); ms < 20_000 || ms > 40_000 {
+	if ms := backendtest.Receive(t, "request", left); ms < 20_000 || ms > 40_000 {
 		t.Errorf("a backend was given %d ms after", ms)
 	}
 	pool := p.loop.pool.Stats()
@@ -103,14 +103,14 @@
 // Settings change back and forth under load: every request is served, and no connection is closed on either side.
 func TestReloadUnderLoadLosesNoRequest(t *testing.T) {
 	const clients, reloads = 3, 60 // more at once than a class's count has learned to bear would be refused
-	b := startBackend(t, says(served, true))
+	b := startOKBackend(t)
 	// Each request may need a connection of its own, as one rests after its use.
-	p := startProxy(t, startDiscovery(t).addr, 4000, listText(1, true, listed("a", b.addr, discovery.Serving)))
+	p := startProxy(t, startDiscovery(t).addr, 4000, servingList(b))
 	configs := []config.Config{
-		changed(t, p, "b", lookProfile, scanProfile+lookProfile, `"siblings":1`, `"siblings":3`,
+		changedConfig(t, p, "b", lookProfile, scanProfile+lookProfile, `"siblings":1`, `"siblings":3`,
 			`"tenants":[`, `"tenants":[{"name":"other","portion":0.1,"quota_per_s":5},`,
 			`"failure_domains":["a"]`, `"failure_domains":["b","a"]`, `"my_zone":0`, `"my_zone":1`),
-		changed(t, p, "a"),
+		changedConfig(t, p, "a"),
 	}
 	answers, over := make(chan int), make(chan struct{})
 	var all sync.WaitGroup
@@ -139,7 +139,7 @@
 	for i := range reloads {
 		p.mustReload(t, configs[i%2])
 		for range clients {
-			if got := wait(t, "answer", answers); got != 200 {
+			if got := backendtest.Receive(t, "answer", answers); got != 200 {
 				t.Errorf("reload %d: got %d", i, got)
 			}
 		}
@@ -149,21 +149,21 @@
 	if n := p.clients.Stats().Open; n != clients {
 		t.Errorf("%d connections of %d clients", n, clients)
 	}
-	if n := len(b.closed); n > 0 {
+	if n := len(b.Closed); n > 0 {
 		t.Errorf("%d connections to the backend have ended", n)
 	}
-	n := b.conns.Load()
+	n := b.Connections.Load()
 	time.Sleep(upstream.ReuseDelay) // idle connections may be used again
 	p.mustReload(t, configs[0])
-	if got := p.status(t, shortPost("last")); got != 200 || b.conns.Load() != n {
-		t.Errorf("got %d on one of %d connections, of %d before the reload", got, b.conns.Load(), n)
+	if got := p.status(t, shortPost("last")); got != 200 || b.Connections.Load() != n {
+		t.Errorf("got %d on one of %d connections, of %d before the reload", got, b.Connections.Load(), n)
 	}
 }
 
 // A configuration that is invalid anywhere leaves all of the old one in force.
 func TestRejectedReloadChangesNothing(t *testing.T) {
-	p, _, _ := operated(t)
-	p.mustReload(t, changed(t, p, "first"))
+	p, _, _ := startWithOperators(t)
+	p.mustReload(t, changedConfig(t, p, "first"))
 	before, most := p.loop.settings.Load(), p.most()
 	for want, spoil := range map[string]func(*config.Config){
 		"name":              func(c *config.Config) { c.Name = "other" },
@@ -180,7 +180,7 @@
 		"Tenants":           func(c *config.Config) { c.Site.Balancer.Tenants[0].RateQuota = -1 },
 	} {
 		t.Run(want, func(t *testing.T) {
-			cfg := changed(t, p, "bad", lookProfile, scanProfile+lookProfile)
+			cfg := changedConfig(t, p, "bad", lookProfile, scanProfile+lookProfile)
 			cfg.Limits.Sockets = 800
 			spoil(&cfg)
 			if err := p.Reload(cfg); err == nil || !strings.Contains(err.Error(), want) {
@@ -191,10 +191,10 @@
 			}
 		})
 	}
-	if got := p.status(t, scan("1")); got != 400 {
+	if got := p.status(t, scanRequest("1")); got != 400 {
 		t.Errorf("a class of rejected settings: %d", got)
 	}
-	if got := p.status(t, look("2", 4000)); got != 200 {
+	if got := p.status(t, lookRequest("2", 4000)); got != 200 {
 		t.Errorf("a class of the old settings: %d", got)
 	}
 }
@@ -209,28 +209,28 @@
 	}{
 		"not idempotent": {shortPost("1"), postProfile,
 			strings.Replace(postProfile, `"at_most_once"`, `"deduplicated","dedup_scope":"all","dedup_window_us":8000000`, 1), 502, 1},
-		"with key, window changed": {rate("1"), `"dedup_window_us":9000000`, `"dedup_window_us":1`, 200, 2},
-		"with key, class removed": {rate("1"), `{"dedup_scope":"cell","dedup_window_us":9000000,"give_up_us":8000000,"name":"rate",` +
+		"with key, window changed": {rateRequest("1"), `"dedup_window_us":9000000`, `"dedup_window_us":1`, 200, 2},
+		"with key, class removed": {rateRequest("1"), `{"dedup_scope":"cell","dedup_window_us":9000000,"give_up_us":8000000,"name":"rate",` +
 			`"objective_us":1000000,"late_share":0.5,"repeat":"deduplicated","worth":1},`, "", 200, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			came, release := make(chan struct{}, 1), make(chan struct{})
-			p, b := serving(t, func(w io.Writer, _ *http.Request, n int) bool {
+			p, b := startServing(t, func(w io.Writer, _ *http.Request, n int) bool {
 				if n == 1 {
 					came <- struct{}{}
 					<-release
 					return false // the connection ends without an answer
 				}
-				_, _ = io.WriteString(w, served)
+				_, _ = io.WriteString(w, backendtest.OK)
 				return true
 			})
 			cl := connect(t, p)
 			cl.send(t, c.request)
-			wait(t, "request at the backend", came)
-			p.mustReload(t, changed(t, p, "", c.old, c.reload))
+			backendtest.Receive(t, "request at the backend", came)
+			p.mustReload(t, changedConfig(t, p, "", c.old, c.reload))
 			close(release)
-			if resp, _ := cl.answer(t); resp.StatusCode != c.want || b.requests.Load() != c.sends {
-				t.Errorf("got %s after %d sends", resp.Status, b.requests.Load())
+			if resp, _ := cl.readResponse(t); resp.StatusCode != c.want || b.Requests.Load() != c.sends {
+				t.Errorf("got %s after %d sends", resp.Status, b.Requests.Load())
 			}
 		})
 	}
@@ -251,18 +251,18 @@
 		"class unchanged":      {`"siblings":1`, `"siblings":2`, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, b := serving(t, says(served, true))
+			p, b := startServing(t, backendtest.Respond(backendtest.OK, true))
 			ids := make(chan balancer.Request, 1)
 			release := make(chan struct{})
 			p.onLoop(func() { <-release })
-			waitUntil(t, func() bool { return len(p.loop.events) == 0 }) // the loop is held
+			backendtest.WaitUntil(t, func() bool { return len(p.loop.events) == 0 }) // the loop is held
 			reloaded := make(chan error, 1)
-			cfg := changed(t, p, "", c.old, c.reload)
+			cfg := changedConfig(t, p, "", c.old, c.reload)
 			go func() { reloaded <- p.Reload(cfg) }()
-			waitUntil(t, func() bool { return len(p.loop.events) == 1 })
+			backendtest.WaitUntil(t, func() bool { return len(p.loop.events) == 1 })
 			cl := connect(t, p)
-			cl.send(t, look("1", 4000))
-			waitUntil(t, func() bool { return len(p.loop.events) == 2 })
+			cl.send(t, lookRequest("1", 4000))
+			backendtest.WaitUntil(t, func() bool { return len(p.loop.events) == 2 })
 			p.onLoop(func() {
 				for _, r := range p.loop.requests {
 					ids <- r.Request.Request
@@ -270,11 +270,11 @@
 				close(ids)
 			})
 			close(release)
-			if err := wait(t, "end of the reload", reloaded); err != nil {
+			if err := backendtest.Receive(t, "end of the reload", reloaded); err != nil {
 				t.Fatal(err)
 			}
-			resp, _ := cl.answer(t)
-			if sent := b.requests.Load(); resp.StatusCode != c.want || (sent > 0) != (c.want == 200) {
+			resp, _ := cl.readResponse(t)
+			if sent := b.Requests.Load(); resp.StatusCode != c.want || (sent > 0) != (c.want == 200) {
 				t.Errorf("got %s after %d sends", resp.Status, sent)
 			}
 			site := p.loop.settings.Load().Site
@@ -289,24 +289,24 @@
 
 // Operators see which settings are in force, in one line.
 func TestReadyReportsSettingsInForce(t *testing.T) {
-	p, _, _ := operated(t)
+	p, _, _ := startWithOperators(t)
 	ask := func() string {
 		t.Helper()
 		c := dial(t, p.ConsoleAddr())
 		c.send(t, "GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n")
-		resp, body := c.answer(t)
+		resp, body := c.readResponse(t)
 		if resp.StatusCode != 200 || strings.Count(body, "\n") != 1 || !strings.HasSuffix(body, "\n") {
 			t.Errorf("got %s %q", resp.Status, body)
 		}
 		return body
 	}
-	p.mustReload(t, changed(t, p, "0123456789ab"))
+	p.mustReload(t, changedConfig(t, p, "0123456789ab"))
 	at := p.loop.settings.Load().TakenAt.UTC().Format("2006-01-02T15:04:05.000Z")
 	if got := ask(); got != "ok settings=0123456789ab taken="+at+"\n" {
 		t.Errorf("got %q", got)
 	}
-	p.mustReload(t, changed(t, p, "ba9876543210"))
-	bad := changed(t, p, "bad")
+	p.mustReload(t, changedConfig(t, p, "ba9876543210"))
+	bad := changedConfig(t, p, "bad")
 	bad.Discovery = ""
 	if err := p.Reload(bad); err == nil {
 		t.Error("no discovery is no error")
@@ -318,13 +318,13 @@
 
 // Requests that arrived under longer deadlines keep them at SIGTERM, also after two reloads.
 func TestSnapshotKeepsLongestDeadlineOfOpenRequests(t *testing.T) {
-	p, _ := serving(t, says(served, true))
+	p, _ := startServing(t, backendtest.Respond(backendtest.OK, true))
 	const before, after = 8 * time.Second, 90 * time.Millisecond
 	first := p.loop.settings.Load().TakenAt
 	short := []string{"8000000", "90000", "4000000", "80000", "1000000,", "80000,"}
-	p.mustReload(t, changed(t, p, "", short...))
+	p.mustReload(t, changedConfig(t, p, "", short...))
 	second := p.loop.settings.Load().TakenAt
-	p.mustReload(t, changed(t, p, "again", short...))
+	p.mustReload(t, changedConfig(t, p, "again", short...))
 	in := p.loop.settings.Load()
 	for _, c := range []struct {
 		at   time.Time
@@ -342,8 +342,8 @@
 
 // Descriptors and memory are divided again at once.
 func TestReloadAppliesLimits(t *testing.T) {
-	p, _ := serving(t, says(served, true))
-	cfg := changed(t, p, "")
+	p, _ := startServing(t, backendtest.Respond(backendtest.OK, true))
+	cfg := changedConfig(t, p, "")
 	cfg.Limits.Sockets, cfg.Limits.MemoryMB = 500, 100
 	p.mustReload(t, cfg)
 	forClients, forBackends := cfg.Limits.Connections()
--- a/internal/proxy/retry_test.go
+++ b/internal/proxy/retry_test.go
@@ -9,13 +9,13 @@
 	"testing"
 	"time"
 
-	"baylock/internal/discovery"
+	"baylock/internal/backendtest"
 )
 
 const failed = "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
 
-// rate returns a request of the class that is idempotent with a key.
-func rate(id string) string {
+// rateRequest returns a request of the class that is idempotent with a key.
+func rateRequest(id string) string {
 	return "POST /rate/k HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nRequest-Class: rate\r\n" +
 		"Request-Timeout-Ms: 8000\r\nIdempotency-Key: x\r\nContent-Length: 3\r\n\r\nabc"
 }
@@ -27,9 +27,9 @@
 	for name, late := range map[string]bool{"dial ended by its context": false, "dial that returns late": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := startBackend(t, says(failed, false))
+			b := backendtest.Start(t, backendtest.Respond(failed, false))
 			var first time.Time
-			p := startSite(t, func(p *Proxy) {
+			p := startAdjusted(t, func(p *Proxy) {
 				dial := p.loop.pool.DialContext
 				p.loop.pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 					if first.IsZero() {
@@ -43,11 +43,11 @@
 					time.Sleep(time.Until(first.Add(window)))
 					return dial(context.Background(), network, addr)
 				}
-			}, listText(1, true, listed("a", b.addr, discovery.Serving)), `"dedup_window_us":9000000`, `"dedup_window_us":1000000`,
+			}, servingList(b), `"dedup_window_us":9000000`, `"dedup_window_us":1000000`,
 				`"objective_us":1000000`, `"objective_us":2600000`) // so that a hanging attempt lasts longer than the window
 			c := connect(t, p)
-			c.send(t, rate("1"))
-			resp, _ := c.answer(t)
+			c.send(t, rateRequest("1"))
+			resp, _ := c.readResponse(t)
 			if resp.StatusCode != http.StatusBadGateway {
 				t.Errorf("got %s", resp.Status)
 			}
@@ -55,33 +55,33 @@
 				t.Errorf("answered after %v", took)
 			}
 			c.Close()
-			onlySent(t, p, b, 1)
+			checkBegun(t, p, b, 1)
 		})
 	}
 }
 
 // The retry goes to an endpoint in the deduplication scope of its class.
 func TestRetryIsSentWithinDedupWindow(t *testing.T) {
-	b := startBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
+	b := backendtest.Start(t, func(w io.Writer, _ *http.Request, n int) bool {
 		if n == 1 {
 			_, _ = io.WriteString(w, failed)
 		} else {
-			_, _ = io.WriteString(w, served)
+			_, _ = io.WriteString(w, backendtest.OK)
 		}
 		return true
 	})
-	p := startSite(t, func(*Proxy) {}, listText(1, true, listed("a", b.addr, discovery.Serving)))
+	p := startAdjusted(t, func(*Proxy) {}, servingList(b))
 	c := connect(t, p)
-	c.send(t, rate("1"))
-	if resp, _ := c.answer(t); resp.StatusCode != http.StatusOK || b.requests.Load() != 2 {
-		t.Errorf("got %s after %d attempts", resp.Status, b.requests.Load())
+	c.send(t, rateRequest("1"))
+	if resp, _ := c.readResponse(t); resp.StatusCode != http.StatusOK || b.Requests.Load() != 2 {
+		t.Errorf("got %s after %d attempts", resp.Status, b.Requests.Load())
 	}
 }
 
 // The head of a long response is forwarded though its body breaks off: were the connection to end without any byte, its
 // client would take the request for unread and send it again.
 func TestBrokenLongResponseIsStarted(t *testing.T) {
-	p, b := serving(t, says("HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n", false))
+	p, b := startServing(t, backendtest.Respond("HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n", false))
 	c := connect(t, p)
 	c.send(t, shortPost("1"))
 	resp, err := http.ReadResponse(c.r, nil)
@@ -91,8 +91,8 @@
 	if body, err := io.ReadAll(resp.Body); !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("got %s with %d bytes, %v", resp.Status, len(body), err)
 	}
-	nothingLeft(t, p)
-	if n := b.requests.Load(); n != 1 {
+	waitUntilIdle(t, p)
+	if n := b.Requests.Load(); n != 1 {
 		t.Errorf("%d attempts", n)
 	}
 }
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -13,8 +13,8 @@
 
 	servingFraction = 0.7 // of that time new requests are accepted for; the rest is for their responses
 
-	// streamingWindow is how long after SIGTERM a request may be completed and still get a streamed response from a process
-	// that has been taken over: SIGKILL may cut it off, and a cut response to a later request counts as lost.
+	// streamingWindow is how long after SIGTERM a request may arrive and still get a streamed response, where another process
+	// has taken over. SIGKILL may cut such a response off, and the request would count as lost.
 	streamingWindow = 600 * time.Millisecond
 )
 
@@ -50,7 +50,7 @@
 	var failure error
 	select {
 	case failure = <-served: // submitted requests get their responses all the same
-		p.log.Error("no connections are taken any more", "error", failure)
+		p.log.Error("no more connections are accepted", "error", failure)
 	case <-ctx.Done():
 	}
 	p.shutDown(time.Now())
@@ -59,7 +59,7 @@
 
 func (p *Proxy) serveConsole() {
 	if err := p.console.Serve(); err != nil {
-		p.log.Error("no calls are taken any more", "error", err)
+		p.log.Error("the console has failed", "error", err)
 	}
 }
 
--- /dev/null
+++ b/internal/proxy/shutdown_test.go
@@ -0,0 +1,234 @@
+package proxy
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"baylock/balancer"
+	"baylock/internal/backendtest"
+	"baylock/internal/microtime"
+)
+
+// Other proxies may shut down at the same time. After SIGTERM clients are served on the connections they have, and on new
+// ones; at the end each response closes its connection.
+func TestShutdownUnderLoadLosesNoRequest(t *testing.T) {
+	release := make(chan struct{})
+	p, b := startServing(t, respondAfter(release))
+	idle := connect(t, p)
+	idle.send(t, lookRequest("1", 8000))
+	idle.readResponse(t)
+	var held []*testClient
+	for i := range 10 {
+		held = append(held, connect(t, p))
+		held[i].send(t, lookRequest(fmt.Sprint("h", i), 8000))
+	}
+	backendtest.WaitUntil(t, func() bool { return b.Requests.Load() == 11 })
+	unused := connect(t, p)
+	p.stop()
+	backendtest.WaitUntil(t, func() bool { return p.server.State().Draining })
+	for i, c := range []*testClient{idle, connect(t, p)} {
+		for n := range 5 {
+			c.send(t, lookRequest(fmt.Sprint("n", i, n), 8000))
+			if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" || resp.Close {
+				t.Fatalf("after SIGTERM: got %s, close %v", resp.Status, resp.Close)
+			}
+		}
+	}
+	backendtest.WaitUntil(t, func() bool { return p.server.State().CloseAfterResponse })
+	close(release)
+	var all sync.WaitGroup
+	for _, c := range held {
+		all.Go(func() {
+			if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
+				t.Errorf("held: got %s, close %v", resp.Status, resp.Close)
+			}
+		})
+	}
+	all.Wait()
+	if err := backendtest.Receive(t, "end of Run", p.done); err != nil {
+		t.Error(err)
+	}
+	if _, err := unused.r.ReadByte(); err == nil {
+		t.Error("an unused connection got a response")
+	}
+}
+
+// After SIGTERM clients get no new connections. Slow requests must not take all that they have: some stay free, on which
+// further requests are rejected at once with Retry-After, and which can be used again.
+func TestShutdownKeepsConnectionsFree(t *testing.T) {
+	release := make(chan struct{})
+	p, b := startServing(t, respondAfter(release))
+	var all []*testClient
+	for i := range 8 {
+		all = append(all, connect(t, p))
+		all[i].send(t, lookRequest(fmt.Sprint(i), 8000))
+		all[i].readResponse(t)
+	}
+	backendtest.WaitUntil(t, func() bool { return p.clients.Stats().Idle == len(all) })
+	p.stop()
+	backendtest.WaitUntil(t, func() bool { return p.server.State().NewConnectionsEnded })
+	for i, c := range all[:5] {
+		c.send(t, lookRequest(fmt.Sprint("h", i), 8000))
+	}
+	backendtest.WaitUntil(t, func() bool { return b.Requests.Load() == 13 })
+	for i := range 3 {
+		all[5].send(t, lookRequest(fmt.Sprint("h", 5+i), 8000))
+		resp, _ := all[5].readResponse(t)
+		if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || resp.Close {
+			t.Fatalf("with 5 of 8 connections held: got %s %v, close %v", resp.Status, resp.Header, resp.Close)
+		}
+	}
+	close(release)
+	for _, c := range all[:5] {
+		if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
+			t.Errorf("held: got %s", resp.Status)
+		}
+	}
+	all[5].send(t, lookRequest("s", 8000))
+	if resp, _ := all[5].readResponse(t); resp.StatusCode != 200 {
+		t.Errorf("with free connections: got %s", resp.Status)
+	}
+}
+
+// A request at a hung backend is failed before SIGKILL.
+func TestShutdownFailsHungRequests(t *testing.T) {
+	p, b := startServing(t, backendtest.Hang(t))
+	c := connect(t, p)
+	c.send(t, lookRequest("1", 8000))
+	backendtest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
+	start := time.Now()
+	p.stop()
+	if resp, _ := c.readResponse(t); resp.StatusCode == 200 {
+		t.Errorf("got %s", resp.Status)
+	}
+	if err := backendtest.Receive(t, "end of Run", p.done); err != nil {
+		t.Error(err)
+	}
+	if took := time.Since(start); took > killDelay+5*time.Second {
+		t.Errorf("ended %v after SIGTERM", took)
+	}
+}
+
+// A response after the latency objective is still useful: what is open at SIGTERM keeps its deadline, up to the cutoff.
+func TestShutdownKeepsDeadlinesOfOpenRequests(t *testing.T) {
+	p, b := startServing(t, backendtest.Hang(t))
+	for i, ms := range []int{2000, 8000} {
+		connect(t, p).send(t, strings.NewReplacer("post", "rate", "-Ms: 4000", fmt.Sprintf("-Ms: %d\r\nIdempotency-Key: x", ms)).
+			Replace(postHead(fmt.Sprint(i), "Content-Length: 0")))
+	}
+	backendtest.WaitUntil(t, func() bool { return b.Requests.Load() == 2 })
+	p.stop()
+	type times struct{ own, until, long, cutoff balancer.Microseconds }
+	var got times
+	backendtest.WaitUntil(t, func() bool {
+		words := make(chan times, 1)
+		p.onLoop(func() {
+			soon, late := p.loop.requests["0"], p.loop.requests["1"]
+			words <- times{soon.expiry.Due(), soon.Deadline + microtime.FromDuration(expiryLeeway), late.expiry.Due(), p.loop.cutoff}
+		})
+		got = backendtest.Receive(t, "answer of the loop", words)
+		return got.cutoff > 0
+	})
+	if got.own != got.until || got.long != got.cutoff {
+		t.Errorf("ends after SIGTERM: %+v", got)
+	}
+}
+
+// SIGTERM cuts off no response that is being forwarded; the process ends after it.
+func TestShutdownFinishesStreamedResponses(t *testing.T) {
+	release := make(chan struct{})
+	b := startBufferingBackend(t, func(w io.Writer, _ *http.Request, _ []byte) {
+		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n"+distinctText(200_000)[:100_000])
+		<-release
+		_, _ = io.WriteString(w, distinctText(200_000)[100_000:])
+	})
+	p := startWithBackend(t, b)
+	c := connect(t, p)
+	c.send(t, lookRequest("1", 4000))
+	resp, err := http.ReadResponse(c.r, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	p.stop()
+	time.AfterFunc(killDelay+killLeeway+200*time.Millisecond, func() { close(release) })
+	if body, err := io.ReadAll(resp.Body); err != nil || string(body) != distinctText(200_000) {
+		t.Errorf("got %d bytes, %v", len(body), err)
+	}
+	if err := backendtest.Receive(t, "end of Run", p.done); err != nil {
+		t.Error(err)
+	}
+}
+
+// At the cutoff the loop fails open requests. On a busy machine their responses may be written later than that.
+func TestShutdownAnswersOpenRequestAfterCutoff(t *testing.T) {
+	release := make(chan struct{})
+	p, b := startServing(t, respondAfter(release))
+	c, half := connect(t, p), connect(t, p)
+	half.send(t, lookRequest("1", 8000)[:30])
+	c.send(t, lookRequest("h", 8000))
+	backendtest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 && p.clients.Stats().Open == 2 })
+	ended := make(chan struct{})
+	go func() { defer close(ended); p.server.Shutdown(time.Now()) }()
+	backendtest.Receive(t, "end of accepting", p.server.ServeDone())
+	close(release)
+	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
+		t.Errorf("got %s, close %v", resp.Status, resp.Close)
+	}
+	c.Close()
+	backendtest.Receive(t, "end of Shutdown beside an incomplete head", ended)
+}
+
+// A connection that is established, but not accepted yet, would be reset by the listener's close.
+func TestShutdownAcceptsQueuedConnections(t *testing.T) {
+	b := startOKBackend(t)
+	accepted, proceed := make(chan struct{}, 2), make(chan struct{})
+	seen := make(chan string, 1000)
+	p := startAdjusted(t, func(p *Proxy) {
+		p.clients.Listener = gatedListener{Listener: p.clients.Listener,
+			gate:      func(c net.Conn) net.Conn { accepted <- struct{}{}; <-proceed; return c },
+			onInspect: func() { seen <- "look" }, onClose: func() { seen <- "close" }}
+	}, servingList(b))
+	first := connect(t, p)
+	backendtest.Receive(t, "accept", accepted)
+	second := connect(t, p) // in the queue
+	go p.server.Shutdown(time.Now().Add(backendtest.Patience))
+	backendtest.Receive(t, "inspection or close of the listener", seen)
+	close(proceed)
+	for i, c := range []*testClient{first, second} {
+		c.send(t, shortPost(string(rune('1'+i))))
+		if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
+			t.Errorf("connection %d: got %s", i, resp.Status)
+		}
+	}
+}
+
+// A listener that has failed for good ends the process only after the open requests.
+func TestFailedListenerLosesNoResponse(t *testing.T) {
+	release, fail := make(chan struct{}), make(chan struct{})
+	b := backendtest.Start(t, respondAfter(release))
+	p := startAdjusted(t, func(p *Proxy) {
+		p.clients.Listener = failingListener{p.clients.Listener, fail}
+	}, servingList(b))
+	c := connect(t, p)
+	c.send(t, lookRequest("h", 8000))
+	backendtest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
+	close(fail)
+	connect(t, p)
+	backendtest.Receive(t, "end of accepting", p.server.ServeDone())
+	backendtest.WaitUntil(t, func() bool { return p.server.State().Draining || len(p.done) > 0 })
+	close(release)
+	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
+		t.Errorf("got %s", resp.Status)
+	}
+	c.Close()
+	if err := backendtest.Receive(t, "end of Run", p.done); !errors.Is(err, errListenerFailed) {
+		t.Errorf("Run ended with %v", err)
+	}
+}
--- a/internal/proxy/takeover_test.go
+++ b/internal/proxy/takeover_test.go
@@ -18,6 +18,7 @@
 	"time"
 
 	"baylock/balancer"
+	"baylock/internal/backendtest"
 	"baylock/internal/config"
 	"baylock/internal/discovery"
 	"baylock/internal/settings"
@@ -26,12 +27,12 @@
 // A new version takes over under load: every request is answered in full on any connection, new connections go to the
 // new process, detached backends and lame duck hold at both, and both share the limits.
 func TestTakeoverUnderLoadLosesNoRequest(t *testing.T) {
-	a, b, c := startBackend(t, says(served, true)), startBackend(t, says(served, true)), startBackend(t, says(served, true))
+	a, b, c := startOKBackend(t), startOKBackend(t), startOKBackend(t)
 	d, dir := startDiscovery(t), t.TempDir()
-	entries := []string{listed("a", a.addr, discovery.Serving), listed("b", b.addr, discovery.Serving), listed("c", c.addr, discovery.Serving)}
+	entries := []string{listEntry("a", a.Address, discovery.Serving), listEntry("b", b.Address, discovery.Serving), listEntry("c", c.Address, discovery.Serving)}
 	old := startWithConsole(t, dir, "127.0.0.1:0", d.addr, entries...)
 	before := old.most()
-	if got := operate(t, old, "POST /_backends/detach", "a"); got != 200 {
+	if got := callConsole(t, old, "POST /_backends/detach", "a"); got != 200 {
 		t.Fatalf("detach: %d", got)
 	}
 	end := make(chan struct{})
@@ -51,10 +52,10 @@
 						t.Errorf("no connection: %v", err)
 						return
 					}
-					_ = nc.SetDeadline(time.Now().Add(patience))
+					_ = nc.SetDeadline(time.Now().Add(backendtest.Patience))
 					c = newClient(nc)
 				}
-				c.send(t, look(fmt.Sprintf("c%d-%d", i, n), 4000))
+				c.send(t, lookRequest(fmt.Sprintf("c%d-%d", i, n), 4000))
 				resp, err := http.ReadResponse(c.r, nil)
 				if err != nil || resp.StatusCode != 200 && resp.StatusCode != 503 { // rejections may happen on a busy machine
 					t.Errorf("client %d, request %d: %v %v", i, n, resp, err)
@@ -70,57 +71,57 @@
 		})
 	}
 	next := startWithConsole(t, dir, old.Addr(), d.addr, entries...)
-	waitUntil(t, func() bool {
+	backendtest.WaitUntil(t, func() bool {
 		select {
 		case <-next.opened:
-			return operate(t, next, "GET /_ready", "") == 200
+			return callConsole(t, next, "GET /_ready", "") == 200
 		default:
 			return false
 		}
 	})
-	waitUntil(t, func() bool { return old.most() < before && next.most() < before })
+	backendtest.WaitUntil(t, func() bool { return old.most() < before && next.most() < before })
 	fresh := connect(t, next)
-	fresh.send(t, look("new", 4000))
-	fresh.answer(t)
+	fresh.send(t, lookRequest("new", 4000))
+	fresh.readResponse(t)
 	if n := next.clients.Stats().Open; n == 0 {
 		t.Error("a new connection went to the old process")
 	}
 	// Operators may call either process.
-	operate(t, next, "POST /_lameduck/on", "")
-	waitUntil(t, func() bool { return old.server.State().LameDuck })
-	operate(t, old, "POST /_lameduck/off", "")
-	waitUntil(t, func() bool { return !next.server.State().LameDuck })
-	operate(t, next, "POST /_backends/detach", "b")
-	waitUntil(t, func() bool { return old.isDetached("b") && old.isDetached("a") && next.isDetached("a") })
-	operate(t, old, "POST /_backends/attach", "b")
-	waitUntil(t, func() bool { return !next.isDetached("b") })
+	callConsole(t, next, "POST /_lameduck/on", "")
+	backendtest.WaitUntil(t, func() bool { return old.server.State().LameDuck })
+	callConsole(t, old, "POST /_lameduck/off", "")
+	backendtest.WaitUntil(t, func() bool { return !next.server.State().LameDuck })
+	callConsole(t, next, "POST /_backends/detach", "b")
+	backendtest.WaitUntil(t, func() bool { return old.isDetached("b") && old.isDetached("a") && next.isDetached("a") })
+	callConsole(t, old, "POST /_backends/attach", "b")
+	backendtest.WaitUntil(t, func() bool { return !next.isDetached("b") })
 	old.stop()
-	waitUntil(t, func() bool { return old.server.State().Draining })
+	backendtest.WaitUntil(t, func() bool { return old.server.State().Draining })
 	if got := old.Proxy.server.Healthy(); !got {
 		t.Error("the old process is unhealthy while another serves")
 	}
-	if err := wait(t, "end of the old process", old.done); err != nil {
+	if err := backendtest.Receive(t, "end of the old process", old.done); err != nil {
 		t.Error(err)
 	}
 	close(end)
 	load.Wait()
-	if next.asks(t, 5) != 5 || next.health(t) != 200 {
+	if next.serveLookups(t, 5) != 5 || next.health(t) != 200 {
 		t.Error("the new process does not serve alone")
 	}
-	waitUntil(t, func() bool { return next.most() == before })
-	if n := a.requests.Load(); n != 0 {
+	backendtest.WaitUntil(t, func() bool { return next.most() == before })
+	if n := a.Requests.Load(); n != 0 {
 		t.Errorf("%d requests to the detached backend", n)
 	}
 }
 
 // isDetached tells whether the loop has detached a backend.
-func (p *running) isDetached(id string) bool {
+func (p *runningProxy) isDetached(id string) bool {
 	got := make(chan bool, 1)
 	p.onLoop(func() { got <- p.loop.detached[id] })
 	return <-got
 }
 
-func (p *running) most() int {
+func (p *runningProxy) most() int {
 	return p.clients.Stats().Max
 }
 
@@ -157,19 +158,19 @@
 
 // The locks of a process that is killed end with it; the other process goes on alone and keeps the operators' state.
 func TestTakeoverSurvivesKillOfNewProcess(t *testing.T) {
-	a, b := startBackend(t, says(served, true)), startBackend(t, says(served, true))
+	a, b := startOKBackend(t), startOKBackend(t)
 	d, dir := startDiscovery(t), t.TempDir()
-	entries := []string{listed("a", a.addr, discovery.Serving), listed("b", b.addr, discovery.Serving)}
+	entries := []string{listEntry("a", a.Address, discovery.Serving), listEntry("b", b.Address, discovery.Serving)}
 	old := startWithConsole(t, dir, "127.0.0.1:0", d.addr, entries...)
 	before := old.most()
-	operate(t, old, "POST /_backends/detach", "a")
+	callConsole(t, old, "POST /_backends/detach", "a")
 	cfg, err := json.Marshal(config.Config{Name: "n0", Listen: old.Addr(), Console: "127.0.0.1:0", TempDir: dir,
 		Discovery: d.addr, Seed: 8, Limits: config.Limits{Sockets: 400}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	next := exec.Command(os.Args[0])
-	next.Env = append(os.Environ(), "PROXY_TO_KILL="+string(cfg), "PROXY_KNOWN="+listText(1, true, entries...))
+	next.Env = append(os.Environ(), "PROXY_TO_KILL="+string(cfg), "PROXY_KNOWN="+listJSON(1, true, entries...))
 	next.Stderr = os.Stderr
 	out, err := next.StdoutPipe()
 	if err != nil {
@@ -183,23 +184,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	both := &running{Proxy: old.Proxy}
+	both := &runningProxy{Proxy: old.Proxy}
 	resp, err := http.Post("http://"+strings.TrimSpace(line)+"/_backends/detach", "", strings.NewReader("a"))
 	if err != nil || resp.StatusCode != 200 {
 		t.Fatalf("the new process answered %v, %v", resp, err)
 	}
 	resp.Body.Close()
-	if ok := both.asks(t, 5); ok != 5 || old.clients.Stats().Open != 0 {
+	if ok := both.serveLookups(t, 5); ok != 5 || old.clients.Stats().Open != 0 {
 		t.Errorf("%d of 5 served, %d connections at the old process", ok, old.clients.Stats().Open)
 	}
-	waitUntil(t, func() bool { return old.server.State().TakenOver && old.most() < before })
+	backendtest.WaitUntil(t, func() bool { return old.server.State().TakenOver && old.most() < before })
 	_ = next.Process.Kill()
-	waitUntil(t, func() bool { return !old.server.State().TakenOver && old.most() == before })
-	if ok := old.asks(t, 20); ok != 20 || a.requests.Load() != 0 {
-		t.Errorf("%d of 20 served, %d to the detached backend", ok, a.requests.Load())
+	backendtest.WaitUntil(t, func() bool { return !old.server.State().TakenOver && old.most() == before })
+	if ok := old.serveLookups(t, 20); ok != 20 || a.Requests.Load() != 0 {
+		t.Errorf("%d of 20 served, %d to the detached backend", ok, a.Requests.Load())
 	}
 	old.stop()
-	waitUntil(t, func() bool { return old.server.State().Draining })
+	backendtest.WaitUntil(t, func() bool { return old.server.State().Draining })
 	if old.server.Healthy() {
 		t.Error("it shuts down without a successor, and is healthy")
 	}
@@ -215,12 +216,12 @@
 			if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			b := startBackend(t, says(served, true))
-			p := startWithConsole(t, dir, "127.0.0.1:0", startDiscovery(t).addr, listed("a", b.addr, discovery.Serving))
-			if ok := p.asks(t, 1); ok != 1 {
+			b := startOKBackend(t)
+			p := startWithConsole(t, dir, "127.0.0.1:0", startDiscovery(t).addr, listEntry("a", b.Address, discovery.Serving))
+			if ok := p.serveLookups(t, 1); ok != 1 {
 				t.Error("not served")
 			}
-			if got := operate(t, p, "POST /_backends/detach", "a"); got != 200 {
+			if got := callConsole(t, p, "POST /_backends/detach", "a"); got != 200 {
 				t.Errorf("detach: %d", got)
 			}
 			if err := os.WriteFile(path, []byte(text), 0o600); err != nil { // while it runs
@@ -236,38 +237,38 @@
 
 // Detached backends and lame duck hold for a process that starts after the other has ended.
 func TestStartRestoresOperatorState(t *testing.T) {
-	a, b := startBackend(t, says(served, true)), startBackend(t, says(served, true))
+	a, b := startOKBackend(t), startOKBackend(t)
 	d, dir := startDiscovery(t), t.TempDir()
-	entries := []string{listed("a", a.addr, discovery.Serving), listed("b", b.addr, discovery.Serving)}
+	entries := []string{listEntry("a", a.Address, discovery.Serving), listEntry("b", b.Address, discovery.Serving)}
 	p := startWithConsole(t, dir, "127.0.0.1:0", d.addr, entries...)
-	operate(t, p, "POST /_backends/detach", "a")
-	operate(t, p, "POST /_lameduck/on", "")
+	callConsole(t, p, "POST /_backends/detach", "a")
+	callConsole(t, p, "POST /_lameduck/on", "")
 	p.stop()
-	wait(t, "end of Run", p.done)
+	backendtest.Receive(t, "end of Run", p.done)
 	p = startWithConsole(t, dir, "127.0.0.1:0", d.addr, entries...)
 	if got := p.health(t); got != 503 {
 		t.Errorf("health is %d", got)
 	}
-	if ok := p.asks(t, 20); ok != 20 || a.requests.Load() != 0 {
-		t.Errorf("%d of 20 served, %d to the detached backend", ok, a.requests.Load())
+	if ok := p.serveLookups(t, 20); ok != 20 || a.Requests.Load() != 0 {
+		t.Errorf("%d of 20 served, %d to the detached backend", ok, a.Requests.Load())
 	}
 }
 
 // A new version begins with what the old one's balancer has learned, unless the file is damaged or old.
 func TestTakeoverImportsLearnedState(t *testing.T) {
-	b := startBackend(t, says(served, true))
+	b := startOKBackend(t)
 	d, dir := startDiscovery(t), t.TempDir()
-	entry := listed("a", b.addr, discovery.Serving)
+	entry := listEntry("a", b.Address, discovery.Serving)
 	old := startWithConsole(t, dir, "127.0.0.1:0", d.addr, entry)
-	learned := func(p *running) balancer.LearnedState {
+	learned := func(p *runningProxy) balancer.LearnedState {
 		got := make(chan balancer.LearnedState, 1)
 		p.onLoop(func() { got <- p.loop.balancer.ExportState() })
-		return wait(t, "answer of the loop", got)
+		return backendtest.Receive(t, "answer of the loop", got)
 	}
 	l := learned(old)
 	l.QuotaMultiplier, l.TierLimit = 0.5, 9
 	old.onLoop(func() { old.loop.balancer.ImportState(l) })
-	waitUntil(t, func() bool {
+	backendtest.WaitUntil(t, func() bool {
 		got, ok, err := old.operatorState.LoadLearned()
 		return ok && err == nil && got.QuotaMultiplier == 0.5
 	})
@@ -288,27 +289,27 @@
 // after 0.5 s, and fails a request whose body ends later before its long response begins; one that arrived in time gets
 // its complete response.
 func TestTakeoverFailsLateRequestsWithLongResponses(t *testing.T) {
-	b := startReader(t, func(w io.Writer, r *http.Request, body []byte) {
-		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n%s", text(300_000))
+	b := startBufferingBackend(t, func(w io.Writer, r *http.Request, body []byte) {
+		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n%s", distinctText(300_000))
 	})
 	d, dir := startDiscovery(t), t.TempDir()
-	entry := listed("a", b.addr, discovery.Serving)
+	entry := listEntry("a", b.Address, discovery.Serving)
 	old := startWithConsole(t, dir, "127.0.0.1:0", d.addr, entry)
-	uploads := make([]*client, 2)
+	uploads := make([]*testClient, 2)
 	for i := range uploads {
 		uploads[i] = connect(t, old)
-		uploads[i].send(t, post(fmt.Sprint(i), "Content-Length: 100000")+text(100_000)[:70_000])
+		uploads[i].send(t, postHead(fmt.Sprint(i), "Content-Length: 100000")+distinctText(100_000)[:70_000])
 	}
 	idle := connect(t, old)
-	idle.send(t, look("x", 4000))
-	idle.answer(t)
+	idle.send(t, lookRequest("x", 4000))
+	idle.readResponse(t)
 	next := startWithConsole(t, dir, old.Addr(), d.addr, entry)
 	<-next.opened
 	old.stop()
-	waitUntil(t, func() bool { return old.server.State().Draining })
+	backendtest.WaitUntil(t, func() bool { return old.server.State().Draining })
 	told := time.Now()
 	for i, want := range []int{200, 502} {
-		rest := text(100_000)[70_000:]
+		rest := distinctText(100_000)[70_000:]
 		uploads[i].send(t, rest[:15_000])
 		if want == 502 {
 			if _, err := idle.r.ReadByte(); err != io.EOF || time.Since(told) > time.Second {
@@ -317,11 +318,11 @@
 			time.Sleep(time.Until(told.Add(streamingWindow + 200*time.Millisecond)))
 		}
 		uploads[i].send(t, rest[15_000:])
-		if resp, _ := uploads[i].answer(t); resp.StatusCode != want {
+		if resp, _ := uploads[i].readResponse(t); resp.StatusCode != want {
 			t.Errorf("request %d: got %s", i, resp.Status)
 		}
 	}
-	if err := wait(t, "end of Run", old.done); err != nil {
+	if err := backendtest.Receive(t, "end of Run", old.done); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -16,7 +16,7 @@
 }
 
 // watchEndpoints watches the endpoint list at the present address of discovery until the context ends. The watch of a new
-// address begins with the whole list, since the versions of two addresses do not compare, and only when the old one has
+// address begins with the complete list, since the versions of two addresses do not compare, and only when the old one has
 // ended, so that no update of the old follows the new. Until the new one has answered the old list stays in use.
 func (p *Proxy) watchEndpoints(ctx context.Context) {
 	options := discovery.Options{
