--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -25,9 +25,9 @@
 
 // call asks for what has changed since a version, or for the complete list if that is NoVersion.
 func (c *Client) call(ctx context.Context, from int64) (*List, error) {
-	url, timeout := "http://"+c.Address+MembersPath, c.snapshotTimeout
+	url, timeout := "http://"+c.options.Address+MembersPath, c.snapshotTimeout
 	if from >= 0 {
-		wait := c.watchWait - time.Duration(c.Random.Int64N(int64(c.policy.watchWaitSpread)+1))
+		wait := c.watchWait - time.Duration(c.options.Random.Int64N(int64(c.policy.watchWaitSpread)+1))
 		url += "?" + FromQuery + "=" + strconv.FormatInt(from, 10) +
 			"&" + HoldQuery + "=" + strconv.FormatInt(wait.Milliseconds(), 10)
 		timeout = wait + c.policy.watchTimeout
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -46,9 +46,9 @@
 
 // Client keeps a watch on the endpoint list of a discovery service.
 type Client struct {
-	Options
-	http   *http.Client
-	policy policy
+	options Options
+	http    *http.Client
+	policy  policy
 
 	version      int64 // of the list as last received, or NoVersion where that is in doubt
 	needSnapshot bool  // the next call asks for the complete list
@@ -66,7 +66,7 @@
 	}
 	transport := &http.Transport{MaxConnsPerHost: maxConnections, DisableCompression: true, DialContext: o.Dial}
 	c := &Client{
-		Options:      o,
+		options:      o,
 		http:         &http.Client{Transport: transport},
 		policy:       agentPolicy,
 		version:      o.Known,
@@ -109,9 +109,9 @@
 
 // awaitRequest waits for a request of the balancer where one is needed. It returns false once the context has ended.
 func (c *Client) awaitRequest(ctx context.Context) bool {
-	if c.Poll && !c.requested {
+	if c.options.Poll && !c.requested {
 		select {
-		case <-c.Requests:
+		case <-c.options.Requests:
 		case <-ctx.Done():
 		}
 	}
@@ -121,7 +121,7 @@
 func (c *Client) handleList(ctx context.Context, list *List) {
 	c.version, c.needSnapshot, c.requested = list.Index, false, true
 	c.backoff = minBackoff
-	if c.Poll {
+	if c.options.Poll {
 		c.watchWait = max(c.policy.minWatchWait, c.watchWait-watchWaitDecrease)
 		c.snapshotTimeout = c.policy.minSnapshotTimeout
 	}
@@ -134,15 +134,15 @@
 // time out before the silence ends. With Poll a watch that times out is followed by a call for the complete list at once;
 // after any other failure the balancer requests the next call, unless there is no list from this address yet.
 func (c *Client) handleFailure(ctx context.Context, from int64, err error) {
-	c.Log.Warn("discovery", "error", err)
+	c.options.Log.Warn("discovery", "error", err)
 	timedOut := errors.Is(err, context.DeadlineExceeded)
 	if !errors.Is(err, errBusy) {
-		c.needSnapshot = c.version < 0 || c.Poll || !timedOut
+		c.needSnapshot = c.version < 0 || c.options.Poll || !timedOut
 	}
 	if timedOut && from < 0 { // a busy core or a long queue may be the cause
 		c.snapshotTimeout = min(2*c.snapshotTimeout, c.policy.maxSnapshotTimeout)
 	}
-	if !c.Poll {
+	if !c.options.Poll {
 		c.backOff(ctx, timedOut)
 		return
 	}
@@ -170,12 +170,12 @@
 
 // jitter draws a time from the upper half of a wait, so that proxies that failed together don't retry together.
 func (c *Client) jitter(wait time.Duration) time.Duration {
-	return wait/2 + time.Duration(c.Random.Int64N(int64(wait/2+1)))
+	return wait/2 + time.Duration(c.options.Random.Int64N(int64(wait/2+1)))
 }
 
 func (c *Client) publish(ctx context.Context, u Update) {
 	select {
-	case c.Updates <- u:
+	case c.options.Updates <- u:
 	case <-ctx.Done():
 	}
 }
