--- a/internal/operatorstate/store.go
+++ b/internal/operatorstate/store.go
@@ -49,7 +49,7 @@
 	}
 	s := &Store{log: log, locks: locks, learned: base + learnedSuffix, file: stateFile{path: base + stateSuffix}}
 	if err := s.reload(); err != nil {
-		log.Error("shared state is not taken", "error", err)
+		log.Error("shared state is not loaded", "error", err)
 	}
 	s.applied = s.current.Version
 	return s, nil
