--- a/balancer/driver_test.go
+++ b/balancer/driver_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// driver plays legal events against one balancer.
+// driver generates random events, as the protocol allows them, for one Balancer.
 type driver struct {
 	t            *testing.T
 	random       *rand.Rand
@@ -16,35 +16,41 @@
 	balancer     *Balancer
 	now          Microseconds
 	requestCount int
-	openRequests []string // requests that have an attempt out or are owed an answer
-
-	beforeStep func(*driver) // called before each step; may be nil
+	openRequests []string      // those with an outstanding attempt or without an answer
+	beforeStep   func(*driver) // may be nil
 }
 
+// restart replaces the Balancer by a fresh one.
 func (d *driver) restart() {
 	b, err := New(d.checker.settings, d.random.Uint64())
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	d.balancer, d.openRequests = b, nil
-	d.checker.requests, d.checker.listed, d.checker.notReadySince = map[string]*trackedRequest{}, map[string]Endpoint{}, map[string]Microseconds{}
-	d.checker.queues, d.checker.cooldownUntil, d.checker.requestTimes, d.checker.retryTimes, d.checker.timers = map[string][]*trackedRequest{}, map[string]Microseconds{}, nil, nil, nil
+	c := d.checker
+	c.requests, c.queues = map[string]*trackedRequest{}, map[string][]*trackedRequest{}
+	c.listed, c.notReadySince = map[string]Endpoint{}, map[string]Microseconds{}
+	c.cooldownUntil = map[string]Microseconds{}
+	c.requestTimes, c.retryTimes, c.timers = nil, nil, nil
 	d.completeUpdate(CachedUpdate)
 }
 
+// drawEndpoint returns the entry of an endpoint that may be draining or have started lately.
 func (d *driver) drawEndpoint(i int) Endpoint {
-	s := Endpoint{ID: fmt.Sprintf("s%d", i), Zone: i % 2, Cell: i / 4, State: Ready, Capacity: 1}
+	e := Endpoint{ID: fmt.Sprintf("s%d", i), Zone: i % 2, Cell: i / 4, State: Ready, Capacity: 1}
 	switch d.random.IntN(6) {
 	case 0:
-		s.State = Draining
+		e.State = Draining
 	case 1:
-		s.StartedAt = d.now - drawTime(d.random, d.checker.settings.SlowStartDuration)
+		e.StartedAt = d.now - drawTime(d.random, d.checker.settings.SlowStartDuration)
 	}
-	return s
+	return e
 }
 
+// driverEndpoints is how many endpoints there are.
 const driverEndpoints = 16
 
+// completeUpdate sends a complete list that lacks some endpoints.
 func (d *driver) completeUpdate(kind UpdateKind) {
 	var list []Endpoint
 	for i := range driverEndpoints {
@@ -56,6 +62,7 @@
 	d.balancer.UpdateEndpoints(d.now, d.checker, kind, list)
 }
 
+// incrementalUpdate changes or removes one endpoint.
 func (d *driver) incrementalUpdate() {
 	e := d.drawEndpoint(d.random.IntN(driverEndpoints))
 	if _, known := d.checker.listed[e.ID]; known && d.random.IntN(4) == 0 {
@@ -65,68 +72,81 @@
 	d.balancer.UpdateEndpoints(d.now, d.checker, IncrementalUpdate, []Endpoint{e})
 }
 
+// newRequest has a request arrive.
 func (d *driver) newRequest() {
 	d.requestCount++
-	r := Request{ID: fmt.Sprintf("r%d", d.requestCount), Class: d.random.IntN(len(d.checker.settings.Classes)),
-		Tenant: d.random.IntN(len(d.checker.settings.Tenants) + 1), Deadline: d.now + 1000 + drawTime(d.random, 1_500_000)}
+	settings := &d.checker.settings
+	r := Request{
+		ID:       fmt.Sprintf("r%d", d.requestCount),
+		Class:    d.random.IntN(len(settings.Classes)),
+		Tenant:   d.random.IntN(len(settings.Tenants) + 1),
+		Deadline: d.now + 1000 + drawTime(d.random, 1_500_000),
+	}
 	if n := d.random.IntN(8); n > 0 {
 		r.Key = fmt.Sprint("key", n)
 	}
-	k := &trackedRequest{request: r, class: d.checker.settings.Classes[r.Class]}
-	d.checker.requests[r.ID] = k
+	req := &trackedRequest{request: r, class: settings.Classes[r.Class]}
+	d.checker.requests[r.ID] = req
 	d.checker.requestTimes = append(d.checker.requestTimes, d.now)
-	if k.class.OrderedByKey {
-		d.checker.queues[r.Key] = append(d.checker.queues[r.Key], k)
+	if req.class.OrderedByKey {
+		d.checker.queues[r.Key] = append(d.checker.queues[r.Key], req)
 	}
 	d.openRequests = append(d.openRequests, r.ID)
 	d.balancer.HandleRequest(d.now, d.checker, r)
 	d.checkNotLost(r.ID)
 }
 
-// checkNotLost checks that a request is answered, out or waiting for its turn with a timer set: none may be
-// left with nobody to end it.
+// checkNotLost checks that a request is closed, has an attempt outstanding or waits in its key's queue with a timer:
+// nothing else would ever end it.
 func (d *driver) checkNotLost(id string) {
-	k := d.checker.requests[id]
-	waits := len(k.attempts) == 0 && k.class.OrderedByKey && k.request.Key != "" &&
-		slices.ContainsFunc(d.checker.timers, func(t pendingTimer) bool { return t.due <= k.request.Deadline && strings.Contains(t.token, id) })
-	if !k.closed && len(k.pending) == 0 && !waits {
-		d.checker.violation("rule 1: %s is neither answered nor out", id)
+	req := d.checker.requests[id]
+	waits := len(req.attempts) == 0 && req.class.OrderedByKey && req.request.Key != "" &&
+		slices.ContainsFunc(d.checker.timers, func(t pendingTimer) bool {
+			return t.due <= req.request.Deadline && strings.Contains(t.token, id)
+		})
+	if !req.closed && len(req.pending) == 0 && !waits {
+		d.checker.violation("rule 1: %s is neither closed, outstanding nor waiting", id)
 	}
 }
 
+// endOpenRequest ends an attempt of an open request.
 func (d *driver) endOpenRequest() {
 	if len(d.openRequests) == 0 {
 		return
 	}
 	i := d.random.IntN(len(d.openRequests))
 	id := d.openRequests[i]
-	k := d.checker.requests[id]
-	if len(k.pending) == 0 {
-		if k.closed {
+	req := d.checker.requests[id]
+	if len(req.pending) == 0 {
+		if req.closed {
 			d.openRequests = slices.Delete(d.openRequests, i, i+1)
 		}
 		return
 	}
-	d.endAttempt(k, []Status{OK, OK, OK, Error, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, NotAttempted}[d.random.IntN(10)])
+	statuses := []Status{OK, OK, OK, Error, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, NotAttempted}
+	d.endAttempt(req, statuses[d.random.IntN(len(statuses))])
 	d.checkNotLost(id)
 }
 
-func (d *driver) endAttempt(k *trackedRequest, status Status) {
-	n := k.pending[0]
-	k.pending = k.pending[1:]
-	t := k.attempts[n]
-	t.ended = true
-	if k.class.OrderedByKey && (status == TimedOut || status == Reset || status == Cancelled) {
-		d.checker.cooldownUntil[k.request.Key] = max(d.checker.cooldownUntil[k.request.Key], d.now+t.settings.OrderedKeyCooldown)
-	}
-	t.mayHaveRun = (status != Rejected || t.settings.RejectedMayRun) && status != ConnectFailed && status != NotAttempted
+// endAttempt ends a request's oldest outstanding attempt.
+func (d *driver) endAttempt(req *trackedRequest, status Status) {
+	n := req.pending[0]
+	req.pending = req.pending[1:]
+	a := req.attempts[n]
+	a.ended = true
+	if req.class.OrderedByKey && (status == TimedOut || status == Reset || status == Cancelled) {
+		cooldowns, key := d.checker.cooldownUntil, req.request.Key
+		cooldowns[key] = max(cooldowns[key], d.now+a.settings.OrderedKeyCooldown)
+	}
+	a.mayHaveRun = (status != Rejected || a.settings.RejectedMayRun) && status != ConnectFailed && status != NotAttempted
 	if status == OK {
-		k.closed = true
+		req.closed = true
 	}
-	d.balancer.HandleOutcome(d.now, d.checker, Outcome{ID: k.request.ID, Attempt: n, Status: status, Latency: d.now - t.sentAt, RequestDone: k.closed})
+	d.balancer.HandleOutcome(d.now, d.checker, Outcome{ID: req.request.ID, Attempt: n, Status: status,
+		Latency: d.now - a.sentAt, RequestDone: req.closed})
 }
 
-// fireDue brings the timers and time-outs that are due, as the wire does at an attempt's or a client's time.
+// fireDue fires the timers that are due, and ends the attempts whose time-out has passed.
 func (d *driver) fireDue() {
 	for i := 0; i < len(d.checker.timers); i++ {
 		if t := d.checker.timers[i]; t.due <= d.now {
@@ -136,20 +156,20 @@
 		}
 	}
 	for _, id := range slices.Clone(d.openRequests) {
-		k := d.checker.requests[id]
-		for len(k.pending) > 0 && k.attempts[k.pending[0]].sentAt+k.attempts[k.pending[0]].timeout <= d.now {
-			d.endAttempt(k, TimedOut)
+		req := d.checker.requests[id]
+		for len(req.pending) > 0 && req.attempts[req.pending[0]].timesOutAt() <= d.now {
+			d.endAttempt(req, TimedOut)
 			d.checkNotLost(id)
 		}
 	}
 }
 
-// nextDue is when the first time-out falls due.
+// nextDue is when the first timer or time-out is due, but no later than 20 ms from now.
 func (d *driver) nextDue() Microseconds {
 	due := d.now + 20_000
 	for _, id := range d.openRequests {
 		for _, n := range d.checker.requests[id].pending {
-			due = min(due, d.checker.requests[id].attempts[n].sentAt+d.checker.requests[id].attempts[n].timeout)
+			due = min(due, d.checker.requests[id].attempts[n].timesOutAt())
 		}
 	}
 	for _, t := range d.checker.timers {
@@ -158,6 +178,7 @@
 	return max(due, d.now)
 }
 
+// step advances the time and generates an event.
 func (d *driver) step() {
 	if d.beforeStep != nil {
 		d.beforeStep(d)
@@ -176,7 +197,7 @@
 		d.completeUpdate(FullUpdate)
 	case x < 942:
 		d.balancer.UpdateEndpoints(d.now, d.checker, FailedUpdate, nil)
-	case x < 960 && len(d.checker.timers) > 0: // a stale replica of a timer
+	case x < 960 && len(d.checker.timers) > 0: // a timer that is no longer of use
 		d.balancer.TimerFired(d.now, d.checker, timerToken{kind: subscribeTimer}.String())
 	case x < 975:
 		d.cancel()
@@ -190,18 +211,20 @@
 	}
 }
 
+// cancel has the client of an open request cancel it.
 func (d *driver) cancel() {
 	if len(d.openRequests) == 0 {
 		return
 	}
-	k := d.checker.requests[d.openRequests[d.random.IntN(len(d.openRequests))]]
-	k.closed = true
-	d.balancer.CancelRequest(d.now, d.checker, k.request.ID)
+	req := d.checker.requests[d.openRequests[d.random.IntN(len(d.openRequests))]]
+	req.closed = true
+	d.balancer.CancelRequest(d.now, d.checker, req.request.ID)
 }
 
-// runRandomEvents drives a whole sequence and returns what the module did and what it did wrong. change may be nil, or may
-// reconfigure the module before each step.
-func runRandomEvents(t *testing.T, seed uint64, steps int, change func(*driver)) ([]string, []string) {
+// runRandomEvents generates a sequence of events. It returns the Balancer's actions and which rules they broke.
+// beforeStep is called before each step and may be nil.
+func runRandomEvents(t *testing.T, seed uint64, steps int, beforeStep func(*driver)) (actions, violations []string) {
+	t.Helper()
 	s := testSettings()
 	s.Tenants = []Tenant{{QuotaFraction: 0.6, RateQuota: 30}, {QuotaFraction: 0.4, RateQuota: 20}}
 	s.Tier = int(seed % 2)
@@ -213,7 +236,8 @@
 	if seed%5 > 1 {
 		s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = 5*second, 3, 0.05
 	}
-	d := &driver{t: t, random: rand.New(rand.NewPCG(seed, 1)), checker: &rulesChecker{settings: s, now: testStart}, now: testStart, beforeStep: change}
+	d := &driver{t: t, random: rand.New(rand.NewPCG(seed, 1)), checker: &rulesChecker{settings: s, now: testStart},
+		now: testStart, beforeStep: beforeStep}
 	d.restart()
 	for range steps {
 		d.step()
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -6,7 +6,7 @@
 	"baylock/balancer"
 )
 
-// printer is a Host that prints what it is told; a proxy would act on it.
+// printer is a Host that prints its calls; a proxy would carry them out.
 type printer struct{}
 
 func (printer) Send(id, endpoint string, timeout, _ balancer.Microseconds) {
@@ -18,8 +18,8 @@
 func (printer) Subscribe()                                         { fmt.Println("subscribe") }
 func (printer) Log(line string)                                    { fmt.Println("log:", line) }
 
-// A balancer is told of two endpoints and takes a request; the first endpoint is full, so the request goes to the
-// other one, which answers it.
+// A Balancer with two endpoints takes a request. The first endpoint rejects it, so it is retried at the other one, which
+// answers.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Replicas: 1, Zones: 1, MaxAttempts: 3, SlowStartCapacity: 0.2, SlowStartDuration: 20_000_000,
--- a/balancer/load_model_test.go
+++ b/balancer/load_model_test.go
@@ -8,28 +8,30 @@
 	"baylock/internal/timing"
 )
 
-// A loadModel plays some replicas of the module before endpoints with one worker and one queue each, on a drawn day.
+// The load model has some replicas of the balancer before endpoints with one worker and one queue each.
 const (
 	modelReplicas    = 4
 	modelEndpoints   = 16
-	modelServiceTime = 50_000 // mean service time, exponential
-	modelNetworkTime = 1_000
-	modelMaxBacklog  = second // a endpoint whose backlog is longer is full
+	modelServiceTime = 50_000 // mean in microseconds, exponentially distributed
+	modelNetworkTime = 1_000  // microseconds
+	modelMaxBacklog  = second // an endpoint with a longer one rejects
 
 	modelCapacity = modelEndpoints * float64(second) / modelServiceTime // calls a second
 )
 
-// modelFaults are parts of all calls, but for choke.
+// modelFaults are fractions of all requests, but for slowBacklog.
 type modelFaults struct {
 	lateDials   float64 // whose connection comes up to 1.5 s late
 	resets      float64
 	errors      float64      // that a deeper tier fails
-	cancels     float64      // whose client leaves after 0.2 s
-	slowBacklog Microseconds // a endpoint with a longer backlog works at half its speed; 0: never
+	cancels     float64      // whose client is gone after 0.2 s
+	slowBacklog Microseconds // an endpoint with a longer backlog works at half its speed; 0: never
 }
 
+// modelEndpoint serves one call after the other.
 type modelEndpoint struct{ freeAt Microseconds }
 
+// modelRequest is a request and what has become of it.
 type modelRequest struct {
 	id        string
 	replica   int
@@ -38,6 +40,7 @@
 	done      bool
 }
 
+// loadModel runs the model's events and counts how requests end.
 type loadModel struct {
 	random    *rand.Rand
 	faults    modelFaults
@@ -48,8 +51,8 @@
 	requests  map[string]*modelRequest
 	arrived   int
 	inTime    int
-	shed      int // rejected unsent
-	rejected  int // after an attempt
+	shed      int // rejected without an attempt
+	rejected  int // rejected after an attempt
 	failed    int
 }
 
@@ -60,6 +63,7 @@
 }
 
 func newLoadModel(t *testing.T, seed uint64, faults modelFaults) *loadModel {
+	t.Helper()
 	m := &loadModel{random: rand.New(rand.NewPCG(seed, 1)), faults: faults, now: testStart,
 		endpoints: map[string]*modelEndpoint{}, requests: map[string]*modelRequest{}}
 	s := testSettings()
@@ -83,12 +87,12 @@
 	return m
 }
 
-// schedule has something happen after a delay.
+// schedule calls do after a delay.
 func (m *loadModel) schedule(delay Microseconds, do func()) {
 	m.events.Add(timing.NewTimer(m.now+delay, do))
 }
 
-// run has that part of the capacity asked for, for so long, and counts anew.
+// run has requests arrive for a time, at a part of the endpoints' capacity, and counts anew.
 func (m *loadModel) run(load float64, span Microseconds) {
 	m.arrived, m.inTime, m.shed, m.rejected, m.failed = 0, 0, 0, 0, 0
 	end := m.now + span
@@ -104,46 +108,47 @@
 	}
 }
 
+// arrive has a request arrive at a replica.
 func (m *loadModel) arrive() {
 	m.arrived++
-	c := &modelRequest{id: fmt.Sprint(len(m.requests)), replica: m.random.IntN(modelReplicas), arrivedAt: m.now}
-	m.requests[c.id] = c
-	h := modelHost{m, c.replica}
+	req := &modelRequest{id: fmt.Sprint(len(m.requests)), replica: m.random.IntN(modelReplicas), arrivedAt: m.now}
+	m.requests[req.id] = req
+	h := modelHost{m, req.replica}
 	if m.random.Float64() < m.faults.cancels {
 		m.schedule(second/5, func() {
-			if !c.done {
-				c.done = true
-				m.replicas[c.replica].CancelRequest(m.now, h, c.id)
+			if !req.done {
+				req.done = true
+				m.replicas[req.replica].CancelRequest(m.now, h, req.id)
 			}
 		})
 	}
-	m.replicas[c.replica].HandleRequest(m.now, h, Request{ID: c.id, Deadline: m.now + 1_500_000})
+	m.replicas[req.replica].HandleRequest(m.now, h, Request{ID: req.id, Deadline: m.now + 1_500_000})
 }
 
 func (h modelHost) Send(id, endpoint string, timeout, _ Microseconds) {
-	m, c := h.model, h.model.requests[id]
-	attempt, sent := c.attempts, m.now
-	c.attempts++
+	m, req := h.model, h.model.requests[id]
+	attempt, sent := req.attempts, m.now
+	req.attempts++
 	dial := Microseconds(modelNetworkTime)
 	if m.random.Float64() < m.faults.lateDials {
 		dial += drawTime(m.random, 1_500_000)
 	}
 	m.schedule(min(dial, timeout), func() {
 		if dial >= timeout {
-			h.end(c, attempt, ConnectFailed, sent)
+			h.end(req, attempt, ConnectFailed, sent)
 			return
 		}
 		status, took := m.serve(m.endpoints[endpoint])
 		if left := sent + timeout - m.now; took > left {
 			status, took = TimedOut, left
 		}
-		m.schedule(took, func() { h.end(c, attempt, status, sent) })
+		m.schedule(took, func() { h.end(req, attempt, status, sent) })
 	})
 }
 
-// serve puts a call into a endpoint's queue and tells how it will end and when.
-func (m *loadModel) serve(s *modelEndpoint) (Status, Microseconds) {
-	backlog := max(0, s.freeAt-m.now)
+// serve puts a call into an endpoint's queue and returns how it will end and after what time.
+func (m *loadModel) serve(ep *modelEndpoint) (Status, Microseconds) {
+	backlog := max(0, ep.freeAt-m.now)
 	switch u := m.random.Float64(); {
 	case u < m.faults.resets:
 		return Reset, modelNetworkTime
@@ -156,28 +161,29 @@
 	if m.faults.slowBacklog > 0 && backlog > m.faults.slowBacklog {
 		work *= 2
 	}
-	s.freeAt = m.now + backlog + work
+	ep.freeAt = m.now + backlog + work
 	return OK, backlog + work + modelNetworkTime
 }
 
-func (h modelHost) end(c *modelRequest, attempt int, status Status, sent Microseconds) {
+// end tells the replica how an attempt ended.
+func (h modelHost) end(req *modelRequest, attempt int, status Status, sent Microseconds) {
 	m := h.model
-	if c.done {
+	if req.done {
 		status = Cancelled
 	} else if status == OK {
-		c.done = true
-		if m.now-c.arrivedAt <= 500_000 {
+		req.done = true
+		if m.now-req.arrivedAt <= 500_000 {
 			m.inTime++
 		}
 	}
 	m.replicas[h.replica].HandleOutcome(m.now, h,
-		Outcome{ID: c.id, Attempt: attempt, Status: status, Latency: m.now - sent, RequestDone: c.done})
+		Outcome{ID: req.id, Attempt: attempt, Status: status, Latency: m.now - sent, RequestDone: req.done})
 }
 
 func (h modelHost) Reject(id string, _ Microseconds) {
-	c := h.model.requests[id]
-	c.done = true
-	if c.attempts == 0 {
+	req := h.model.requests[id]
+	req.done = true
+	if req.attempts == 0 {
 		h.model.shed++
 	} else {
 		h.model.rejected++
@@ -192,55 +198,66 @@
 func (h modelHost) SetTimer(delay Microseconds, token string) {
 	h.model.schedule(delay, func() { h.model.replicas[h.replica].TimerFired(h.model.now, h, token) })
 }
+
 func (h modelHost) Subscribe() {}
+
 func (h modelHost) Log(string) {}
 
-// TestLoadModelShedsLittleUnderFaults has a tenth of the load, with late connections, resets, failures of a deeper tier and clients that leave.
-func TestLoadModelShedsLittleUnderFaults(t *testing.T) {
+// log logs the counts.
+func (m *loadModel) log(t *testing.T) {
+	t.Helper()
+	t.Logf("%d arrived, %d in time, %d shed, %d rejected, %d failed", m.arrived, m.inTime, m.shed, m.rejected, m.failed)
+}
+
+// A tenth of the load, with late connections, resets, failures of a deeper tier and clients that cancel.
+func TestBalancerShedsLittleUnderFaultsAtLowLoad(t *testing.T) {
 	for seed := range uint64(8) {
-		m := newLoadModel(t, seed, modelFaults{lateDials: 0.3, resets: 0.05, errors: 0.1, cancels: 0.05})
-		m.run(0.1, 60*second)
-		t.Logf("seed %d: %d asked, %d in time, %d shed, %d rejected, %d failed",
-			seed, m.arrived, m.inTime, m.shed, m.rejected, m.failed)
-		if float64(m.shed) > 0.01*float64(m.arrived) {
-			t.Errorf("seed %d: %d of %d rejected unsent", seed, m.shed, m.arrived)
-		}
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			m := newLoadModel(t, seed, modelFaults{lateDials: 0.3, resets: 0.05, errors: 0.1, cancels: 0.05})
+			m.run(0.1, 60*second)
+			m.log(t)
+			if float64(m.shed) > 0.01*float64(m.arrived) {
+				t.Errorf("%d of %d shed, want at most 1 %%", m.shed, m.arrived)
+			}
+		})
 	}
 }
 
-// TestLoadModelKeepsGoodputUnderOverload has 1.4 times the load that the endpoints can serve: nine tenths of their capacity are answered in time on the mean of
+// 1.4 times the load that the endpoints can serve: nine tenths of their capacity are answered in time on the mean of
 // the seeds, and hardly less for each.
-func TestLoadModelKeepsGoodputUnderOverload(t *testing.T) {
-	const days, span = 8, 20 * second
+func TestBalancerKeepsGoodputUnderOverload(t *testing.T) {
+	const seeds, span = 8, 20 * second
 	sum := 0.0
-	for seed := range uint64(days) {
-		m := newLoadModel(t, seed, modelFaults{})
-		m.run(1.4, 10*second)
-		m.run(1.4, span)
-		goodput := float64(m.inTime) / float64(span/second) / modelCapacity
-		sum += goodput
-		t.Logf("seed %d: %d asked, %d in time (%.2f of capacity), %d shed, %d rejected, %d failed",
-			seed, m.arrived, m.inTime, goodput, m.shed, m.rejected, m.failed)
-		if goodput < 0.85 {
-			t.Errorf("seed %d: goodput %.2f of capacity", seed, goodput)
-		}
+	for seed := range uint64(seeds) {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			m := newLoadModel(t, seed, modelFaults{})
+			m.run(1.4, 10*second)
+			m.run(1.4, span)
+			m.log(t)
+			goodput := float64(m.inTime) / float64(span/second) / modelCapacity
+			sum += goodput
+			if goodput < 0.85 {
+				t.Errorf("goodput %.2f of capacity, want 0.85 or more", goodput)
+			}
+		})
 	}
-	if mean := sum / days; mean < 0.9 {
-		t.Errorf("mean goodput %.2f of capacity", mean)
+	if mean := sum / seeds; mean < 0.9 {
+		t.Errorf("mean goodput %.2f of capacity, want 0.9 or more", mean)
 	}
 }
 
-// TestLoadModelRecoversAfterOverload has endpoints that work at half their speed while overloaded: they recover within ten seconds of the load.
-func TestLoadModelRecoversAfterOverload(t *testing.T) {
+// Endpoints that work at half their speed while overloaded recover within ten seconds of the load's fall.
+func TestBalancerRecoversAfterOverload(t *testing.T) {
 	for seed := range uint64(8) {
-		m := newLoadModel(t, seed, modelFaults{slowBacklog: 300_000})
-		m.run(1.4, 10*second)
-		m.run(0.7, 10*second)
-		m.run(0.7, 5*second)
-		t.Logf("seed %d: %d asked, %d in time, %d shed, %d rejected, %d failed",
-			seed, m.arrived, m.inTime, m.shed, m.rejected, m.failed)
-		if float64(m.inTime) < 0.95*float64(m.arrived) {
-			t.Errorf("seed %d: %d of %d in time from 10 s after the load's fall", seed, m.inTime, m.arrived)
-		}
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			m := newLoadModel(t, seed, modelFaults{slowBacklog: 300_000})
+			m.run(1.4, 10*second)
+			m.run(0.7, 10*second)
+			m.run(0.7, 5*second)
+			m.log(t)
+			if float64(m.inTime) < 0.95*float64(m.arrived) {
+				t.Errorf("%d of %d in time from 10 s after the load's fall, want 95 %%", m.inTime, m.arrived)
+			}
+		})
 	}
 }
--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -6,35 +6,43 @@
 	"testing"
 )
 
+// reportViolations reports the first few violations of a sequence.
+func reportViolations(t *testing.T, violations []string) {
+	t.Helper()
+	for _, violation := range violations[:min(3, len(violations))] {
+		t.Error(violation)
+	}
+}
+
 func TestBalancerKeepsRulesInRandomSequences(t *testing.T) {
-	total := map[string]int{}
+	counts := map[string]int{}
 	for seed := range uint64(24) {
-		lines, faults := runRandomEvents(t, seed, 6000, nil)
-		for i, f := range faults {
-			if i < 3 {
-				t.Errorf("seed %d: %s", seed, f)
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			actions, violations := runRandomEvents(t, seed, 6000, nil)
+			reportViolations(t, violations)
+			for _, action := range actions {
+				var at Microseconds
+				var kind string
+				fmt.Sscanf(action, "%d %s", &at, &kind)
+				counts[kind]++
 			}
-		}
-		for _, l := range lines {
-			var at Microseconds
-			var what string
-			fmt.Sscanf(l, "%d %s", &at, &what)
-			total[what]++
-		}
+		})
 	}
-	for _, what := range []string{"send", "reject", "fail"} {
-		if total[what] < 1000 {
-			t.Errorf("only %d of action %q: the sequences test too little", total[what], what)
+	for _, kind := range []string{"send", "reject", "fail"} {
+		if counts[kind] < 1000 {
+			t.Errorf("only %d of action %q: the sequences test too little", counts[kind], kind)
 		}
 	}
 }
 
 func TestBalancerRepeatsActionsForSameEvents(t *testing.T) {
 	for seed := range uint64(4) {
-		one, _ := runRandomEvents(t, seed, 3000, nil)
-		two, _ := runRandomEvents(t, seed, 3000, nil)
-		if !slices.Equal(one, two) {
-			t.Errorf("seed %d: two runs differ", seed)
-		}
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			first, _ := runRandomEvents(t, seed, 3000, nil)
+			again, _ := runRandomEvents(t, seed, 3000, nil)
+			if !slices.Equal(first, again) {
+				t.Error("two runs differ")
+			}
+		})
 	}
 }
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -1,6 +1,7 @@
 package balancer
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"reflect"
@@ -9,13 +10,14 @@
 	"testing"
 )
 
-// invalidSettings are settings that a proxy of these can't take while it runs.
+// invalidSettings returns settings that Reconfigure must not accept in place of these, by the field at fault. Each
+// changes valid fields as well, none of which may be applied.
 func invalidSettings(s Settings) map[string]Settings {
 	all := map[string]Settings{}
 	add := func(field string, spoil func(*Settings)) {
 		bad := s
 		bad.Classes, bad.Tenants = slices.Clone(s.Classes), slices.Clone(s.Tenants)
-		bad.Replicas, bad.MaxAttempts = s.Replicas+7, s.MaxAttempts+7 // nothing of it may be taken
+		bad.Replicas, bad.MaxAttempts = s.Replicas+7, s.MaxAttempts+7
 		spoil(&bad)
 		all[field] = bad
 	}
@@ -30,11 +32,11 @@
 	return all
 }
 
-// operatorChanges take endpoints out and put them back, the same ones for the same seed.
+// operatorChanges returns a step that detaches and attaches endpoints, the same ones for the same seed.
 func operatorChanges(seed uint64) func(*driver) {
-	rnd := rand.New(rand.NewPCG(seed, 4))
+	random := rand.New(rand.NewPCG(seed, 4))
 	return func(d *driver) {
-		switch id := fmt.Sprintf("s%d", rnd.IntN(driverEndpoints)); rnd.IntN(50) {
+		switch id := fmt.Sprintf("s%d", random.IntN(driverEndpoints)); random.IntN(50) {
 		case 0:
 			d.balancer.Detach(id)
 		case 1, 2:
@@ -45,44 +47,49 @@
 
 func TestReconfigureWithEqualSettingsChangesNothing(t *testing.T) {
 	for seed := range uint64(12) {
-		plain, _ := runRandomEvents(t, seed, 4000, operatorChanges(seed))
-		operate := operatorChanges(seed)
-		again, _ := runRandomEvents(t, seed, 4000, func(d *driver) {
-			operate(d)
-			mustReconfigure(t, d.balancer, d.checker.settings)
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			want, _ := runRandomEvents(t, seed, 4000, operatorChanges(seed))
+			operate := operatorChanges(seed)
+			got, _ := runRandomEvents(t, seed, 4000, func(d *driver) {
+				operate(d)
+				mustReconfigure(t, d.balancer, d.checker.settings)
+			})
+			if !slices.Equal(got, want) {
+				t.Error("the actions differ")
+			}
 		})
-		if !slices.Equal(plain, again) {
-			t.Errorf("seed %d: the day differs", seed)
-		}
 	}
 }
 
 func TestReconfigureRejectsInvalidSettingsUnchanged(t *testing.T) {
-	reject := func(d *driver) {
-		for field, s := range invalidSettings(d.checker.settings) {
-			if err := d.balancer.Reconfigure(s); err == nil || !strings.Contains(err.Error(), field) {
-				t.Fatalf("%s: got %v", field, err)
-			}
-		}
-	}
 	for seed := range uint64(6) {
-		plain, _ := runRandomEvents(t, seed, 2000, nil)
-		again, _ := runRandomEvents(t, seed, 2000, reject)
-		if !slices.Equal(plain, again) {
-			t.Errorf("seed %d: the day differs", seed)
-		}
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			want, _ := runRandomEvents(t, seed, 2000, nil)
+			got, _ := runRandomEvents(t, seed, 2000, func(d *driver) {
+				for field, s := range invalidSettings(d.checker.settings) {
+					var fieldErr *FieldError
+					if err := d.balancer.Reconfigure(s); !errors.As(err, &fieldErr) || !strings.Contains(fieldErr.Field, field) {
+						t.Fatalf("Reconfigure with an invalid %s: error %v", field, err)
+					}
+				}
+			})
+			if !slices.Equal(got, want) {
+				t.Error("the actions differ")
+			}
+		})
 	}
 }
 
-// settingsChanger draws other settings now and then. Its classes come, go, move and change.
+// settingsChanger reconfigures the Balancer at random: classes are added, removed, moved and changed.
 type settingsChanger struct {
 	random           *rand.Rand
-	newClasses       int // number of the next new class
+	newClasses       int // classes added, for their names
 	applied          int // settings put in force
-	removedClasses   int // classes that were taken out
-	orphanedRequests int // requests that were out then
+	removedClasses   int
+	orphanedRequests int // requests in flight whose class was removed
 }
 
+// change reconfigures at some steps.
 func (c *settingsChanger) change(d *driver) {
 	if c.random.IntN(40) > 0 {
 		return
@@ -96,14 +103,15 @@
 	mustReconfigure(d.t, d.balancer, s)
 	c.applied++
 	for _, id := range d.openRequests {
-		k := d.checker.requests[id]
-		if len(k.pending) > 0 && !slices.ContainsFunc(s.Classes, func(x Class) bool { return x.Name == k.class.Name }) {
+		req := d.checker.requests[id]
+		if len(req.pending) > 0 && !slices.Contains(classNames(s.Classes), req.class.Name) {
 			c.orphanedRequests++
 		}
 	}
 	d.checker.settings = s
 }
 
+// changeClasses removes, adds, moves or changes a class.
 func (c *settingsChanger) changeClasses(s *Settings) {
 	i := c.random.IntN(len(s.Classes))
 	switch x := c.random.IntN(5); {
@@ -112,21 +120,26 @@
 		c.removedClasses++
 	case x == 1 && len(s.Classes) < 8:
 		c.newClasses++
-		k := s.Classes[i]
-		k.Name = fmt.Sprint("new", c.newClasses%4) // some have been there before
-		if !slices.ContainsFunc(s.Classes, func(x Class) bool { return x.Name == k.Name }) {
-			s.Classes = slices.Insert(s.Classes, i, k)
+		added := s.Classes[i]
+		added.Name = fmt.Sprint("new", c.newClasses%4) // some have been removed before
+		if !slices.Contains(classNames(s.Classes), added.Name) {
+			s.Classes = slices.Insert(s.Classes, i, added)
 		}
 	case x == 2:
 		c.random.Shuffle(len(s.Classes), func(i, j int) { s.Classes[i], s.Classes[j] = s.Classes[j], s.Classes[i] })
 	default:
-		k := &s.Classes[i]
-		k.Idempotency, k.DedupScope, k.OrderedByKey = Idempotency(c.random.IntN(3)), DedupScope(c.random.IntN(3)), c.random.IntN(3) == 0
-		k.DedupWindow, k.LatencyObjective = drawTime(c.random, 600_000), 200_000+drawTime(c.random, 600_000)
-		k.LateFraction, k.PriorityWeight = float64(c.random.IntN(2))*0.3, 1+float64(c.random.IntN(20))
+		class := &s.Classes[i]
+		class.Idempotency = Idempotency(c.random.IntN(3))
+		class.DedupScope = DedupScope(c.random.IntN(3))
+		class.OrderedByKey = c.random.IntN(3) == 0
+		class.DedupWindow = drawTime(c.random, 600_000)
+		class.LatencyObjective = 200_000 + drawTime(c.random, 600_000)
+		class.LateFraction = float64(c.random.IntN(2)) * 0.3
+		class.PriorityWeight = 1 + float64(c.random.IntN(20))
 	}
 }
 
+// changeFigures changes other settings.
 func (c *settingsChanger) changeFigures(s *Settings) {
 	switch c.random.IntN(6) {
 	case 0:
@@ -138,73 +151,79 @@
 	case 3:
 		s.OrderedKeyCooldown, s.MaxRetryAfter = drawTime(c.random, 100_000), drawTime(c.random, second)
 	case 4:
-		s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = drawTime(c.random, 20)*second, float64(c.random.IntN(6)), 0.05
+		s.RetryBudgetWindow = drawTime(c.random, 20) * second
+		s.RetryBudgetMin, s.RetryBudgetRatio = float64(c.random.IntN(6)), 0.05
 	case 5:
 		s.SlowStartCapacity, s.PriorityPerWorkUnit = 0.1+0.2*c.random.Float64(), !s.PriorityPerWorkUnit
 	}
 }
 
-// TestReconfigureKeepsRulesInRandomSequences checks that requests whose class changes or goes while they are in flight keep the idempotency, scope and window that
-// they arrived with.
+// Requests whose class changes or goes while they are in flight keep the idempotency, scope and window that they
+// arrived with.
 func TestReconfigureKeepsRulesInRandomSequences(t *testing.T) {
-	all := settingsChanger{}
+	total := settingsChanger{}
 	for seed := range uint64(40) {
-		c := &settingsChanger{random: rand.New(rand.NewPCG(seed, 2))}
-		_, faults := runRandomEvents(t, seed, 5000, c.change)
-		for i, f := range faults {
-			if i < 3 {
-				t.Errorf("seed %d: %s", seed, f)
-			}
-		}
-		all.applied, all.removedClasses, all.orphanedRequests = all.applied+c.applied, all.removedClasses+c.removedClasses, all.orphanedRequests+c.orphanedRequests
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			c := &settingsChanger{random: rand.New(rand.NewPCG(seed, 2))}
+			_, violations := runRandomEvents(t, seed, 5000, c.change)
+			reportViolations(t, violations)
+			total.applied += c.applied
+			total.removedClasses += c.removedClasses
+			total.orphanedRequests += c.orphanedRequests
+		})
 	}
-	if all.applied < 1000 || all.removedClasses < 100 || all.orphanedRequests < 100 {
-		t.Errorf("the sequences test too little: %+v", all)
+	if total.applied < 1000 || total.removedClasses < 100 || total.orphanedRequests < 100 {
+		t.Errorf("the sequences test too little: %+v", total)
 	}
 }
 
 func TestReconfigureRepeatsActionsForSameEvents(t *testing.T) {
 	for seed := range uint64(4) {
-		day := func() []string {
-			lines, _ := runRandomEvents(t, seed, 3000, (&settingsChanger{random: rand.New(rand.NewPCG(seed, 3))}).change)
-			return lines
-		}
-		if !slices.Equal(day(), day()) {
-			t.Errorf("seed %d: two runs differ", seed)
-		}
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			run := func() []string {
+				c := &settingsChanger{random: rand.New(rand.NewPCG(seed, 3))}
+				actions, _ := runRandomEvents(t, seed, 3000, c.change)
+				return actions
+			}
+			if !slices.Equal(run(), run()) {
+				t.Error("two runs differ")
+			}
+		})
 	}
 }
 
 func TestReconfigureKeepsClassOfRequestInFlight(t *testing.T) {
+	keyed := func(window Microseconds, scope DedupScope) Class {
+		return Class{Idempotency: IdempotentWithKey, DedupWindow: window, DedupScope: scope}
+	}
 	for name, c := range map[string]struct {
-		was, becomes Class
-		status       Status
-		after        Microseconds
-		again        bool
+		before, after Class
+		resetAfter    Microseconds
+		retried       bool
 	}{
-		"an unsafe one is not sent again": {Class{Idempotency: NotIdempotent}, Class{Idempotency: Idempotent}, Reset, 1000, false},
-		"a safe one is sent again":        {Class{Idempotency: Idempotent}, Class{Idempotency: NotIdempotent}, Reset, 1000, true},
-		"a window grows no longer": {Class{Idempotency: IdempotentWithKey, DedupWindow: 100_000}, Class{Idempotency: IdempotentWithKey, DedupWindow: 900_000},
-			Reset, 150_000, false},
-		"a window gets no shorter": {Class{Idempotency: IdempotentWithKey, DedupWindow: 900_000}, Class{Idempotency: IdempotentWithKey, DedupWindow: 100_000},
-			Reset, 150_000, true},
-		"a group gets no wider": {Class{Idempotency: IdempotentWithKey, DedupWindow: 900_000, DedupScope: DedupCell},
-			Class{Idempotency: IdempotentWithKey, DedupWindow: 900_000}, Reset, 1000, false},
+		"not idempotent becomes idempotent": {Class{Idempotency: NotIdempotent}, Class{Idempotency: Idempotent}, 1000, false},
+		"idempotent becomes not idempotent": {Class{Idempotency: Idempotent}, Class{Idempotency: NotIdempotent}, 1000, true},
+		"dedup window becomes longer":       {keyed(100_000, DedupTier), keyed(900_000, DedupTier), 150_000, false},
+		"dedup window becomes shorter":      {keyed(900_000, DedupTier), keyed(100_000, DedupTier), 150_000, true},
+		"dedup scope becomes wider":         {keyed(900_000, DedupCell), keyed(900_000, DedupTier), 1000, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := testSettings()
-			s.Classes = []Class{c.was}
-			s.Classes[0].Name, s.Classes[0].LatencyObjective, s.Classes[0].Deadline, s.Classes[0].PriorityWeight = "a", 500_000, 1_500_000, 1
-			s.Classes[0].LateFraction = 0.3
+			withFigures := func(class Class) []Class {
+				class.Name, class.LatencyObjective, class.Deadline = "a", 500_000, 1_500_000
+				class.PriorityWeight, class.LateFraction = 1, 0.3
+				return []Class{class}
+			}
+			s.Classes = withFigures(c.before)
 			b, h := newWithEndpoints(t, s, 1)
 			b.UpdateEndpoints(testStart, h, IncrementalUpdate, []Endpoint{{ID: "other", Cell: 9, State: Ready, Capacity: 1}})
 			sendRequest(b, h, testStart, "r", 0)
-			s.Classes = slices.Clone(s.Classes)
-			s.Classes[0].Idempotency, s.Classes[0].DedupWindow, s.Classes[0].DedupScope = c.becomes.Idempotency, c.becomes.DedupWindow, c.becomes.DedupScope
+			s.Classes = withFigures(c.after)
 			mustReconfigure(t, b, s)
-			b.HandleOutcome(testStart+c.after, h, Outcome{ID: "r", Status: c.status, Latency: c.after})
-			if again := len(h.sends) == 2 && h.sends[1].endpoint != h.sends[0].endpoint; again != c.again {
-				t.Errorf("sent to another: %v, then %q", again, h.last())
+			b.HandleOutcome(testStart+c.resetAfter, h, Outcome{ID: "r", Status: Reset, Latency: c.resetAfter})
+			retried := len(h.sends) == 2 && h.sends[1].endpoint != h.sends[0].endpoint
+			if retried != c.retried {
+				t.Errorf("retried at another endpoint: %v, want %v; last action %q", retried, c.retried, h.last())
 			}
 		})
 	}
@@ -215,26 +234,29 @@
 	b, h := newWithEndpoints(t, s, 4)
 	sendRequest(b, h, testStart, "r", 0)
 	first := h.sends[0].endpoint
-	less := s
-	less.Classes = s.Classes[1:]
-	mustReconfigure(t, b, less)
+	without := s
+	without.Classes = s.Classes[1:]
+	mustReconfigure(t, b, without)
 	b.HandleOutcome(testStart+1000, h, Outcome{ID: "r", Status: Error, Latency: 1000})
 	if len(h.sends) != 2 || h.sends[1].endpoint == first {
-		t.Fatalf("got %q", h.actions)
+		t.Fatalf("no retry at another endpoint: %q", h.actions)
 	}
 	mustReconfigure(t, b, s)
 	if c := b.classes[0]; c.limit.inFlight != 0 || c.latency.successes != 0 || c.errorRate != 0 {
-		t.Errorf("a class that came back has %+v", c)
+		t.Errorf("the class that was added again has %+v", c)
 	}
 	b.HandleOutcome(testStart+2000, h, Outcome{ID: "r", Attempt: 1, Status: Error, Latency: 1000})
 	b.HandleOutcome(testStart+3000, h, Outcome{ID: "r", Attempt: 2, Status: OK, Latency: 1000, RequestDone: true})
-	for _, endpoint := range b.endpoints.all {
-		if left := endpoint.classHealth(b.classes[0]).factor; left != 1 {
-			t.Errorf("the old request's failures left %v of %s to the class that came back", left, endpoint.ID)
+	for _, ep := range b.endpoints.all {
+		if health := ep.classHealth(b.classes[0]).factor; health != 1 {
+			t.Errorf("the old request's failures leave health %v of %s for the new class", health, ep.ID)
 		}
 	}
-	if c := b.classes[0]; c.limit.inFlight != 0 || c.latency.successes != 0 || b.tierLimit.inFlight != 0 || len(b.requests) != 0 {
-		t.Errorf("after the old request's end: %+v, %d in the tier, %d kept", c, b.tierLimit.inFlight, len(b.requests))
+	if c := b.classes[0]; c.limit.inFlight != 0 || c.latency.successes != 0 {
+		t.Errorf("the old request's end counts for the new class: %+v", c)
+	}
+	if b.tierLimit.inFlight != 0 || len(b.requests) != 0 {
+		t.Errorf("after the old request's end %d calls are in flight and %d requests kept", b.tierLimit.inFlight, len(b.requests))
 	}
 }
 
@@ -244,60 +266,70 @@
 	s = named(s)
 	b, _ := newWithEndpoints(t, s, 3)
 	b.tierLimit.max, b.quotas.multiplier, b.zones.crossZoneWeight, b.outliers.errorRate = 7.5, 0.6, 0.4, 0.2
-	b.classes[1].limit.max, b.classes[1].latency.mean, b.classes[1].latency.unloaded, b.classes[1].latency.successes = 30, 400_000, 300_000, 9
-	b.endpoints.byID["s1"].overall.factor, b.endpoints.byID["s2"].relativeLatency = 0.1, 2
-	b.endpoints.byID["s0"].classHealth(b.classes[2]).factor, b.endpoints.byID["s0"].classHealth(b.classes[0]).factor = 0.5, 0.3
+	b.classes[1].limit.max = 30
+	b.classes[1].latency = latencyEstimate{mean: 400_000, unloaded: 300_000, successes: 9}
+	b.endpoints.byID["s0"].classHealth(b.classes[2]).factor = 0.5
+	b.endpoints.byID["s0"].classHealth(b.classes[0]).factor = 0.3
+	b.endpoints.byID["s1"].overall.factor = 0.1
+	b.endpoints.byID["s2"].relativeLatency = 2
 	b.quotas.tenants[1].arrivals.add(testStart)
 	before := b.ExportState()
 
 	moved := s
 	fresh := Class{Name: "fresh", LatencyObjective: 800_000, Deadline: 1_500_000, PriorityWeight: 1}
-	moved.Classes = []Class{s.Classes[2], s.Classes[1], fresh} // 0, 3 and 4 go
+	moved.Classes = []Class{s.Classes[2], s.Classes[1], fresh} // 0, 3 and 4 are removed
 	moved.Tenants = []Tenant{s.Tenants[1], {Name: "fresh", QuotaFraction: 0.6, RateQuota: 10}}
 	moved.Replicas = 2
 	mustReconfigure(t, b, moved)
+
 	after := b.ExportState()
 	if after.TierLimit != 7.5 || after.QuotaMultiplier != 0.6 || after.CrossZoneWeight != 0.4 || after.ErrorRate != 0.2 {
-		t.Errorf("of the tier: %+v", after)
+		t.Errorf("the tier's state is not kept: %+v", after)
 	}
-	want := []LearnedClass{before.Classes[2], before.Classes[1], {Name: "fresh", Limit: initialLimit, MeanLatency: 200_000, UnloadedLatency: 200_000}}
+	want := []LearnedClass{before.Classes[2], before.Classes[1],
+		{Name: "fresh", Limit: initialLimit, MeanLatency: 200_000, UnloadedLatency: 200_000}}
 	if !reflect.DeepEqual(after.Classes, want) {
-		t.Errorf("of the classes: got %+v, want %+v", after.Classes, want)
+		t.Errorf("classes: got %+v, want %+v", after.Classes, want)
 	}
 	if got := after.Endpoints["s0"].ClassHealth; !slices.Equal(got, []float64{0.5, 1, 1}) {
-		t.Errorf("of s0: got %v", got)
+		t.Errorf("health of s0 by class: %v, want 0.5, 1 and 1", got)
 	}
 	if after.Endpoints["s1"].Health != 0.1 || after.Endpoints["s2"].RelativeLatency != 2 {
-		t.Errorf("of the endpoints: %+v", after.Endpoints)
+		t.Errorf("the endpoints' state is not kept: %+v", after.Endpoints)
 	}
-	if b.quotas.tenants[0].arrivals.count != 1 || b.quotas.tenants[1].arrivals.count != 0 || b.quotas.tenants[0].fraction != 0.4 || b.quotas.fairRate != 15 {
-		t.Errorf("of the tenants: %+v and %+v, %v together", b.quotas.tenants[0], b.quotas.tenants[1], b.quotas.fairRate)
+	kept, added := b.quotas.tenants[0], b.quotas.tenants[1]
+	if kept.arrivals.count != 1 || added.arrivals.count != 0 || kept.fraction != 0.4 || b.quotas.fairRate != 15 {
+		t.Errorf("tenants %+v and %+v, %v a second together", kept, added, b.quotas.fairRate)
 	}
-	if b.tierLimit.evidence.minDuration != roundObjectives*800_000 {
-		t.Errorf("a round lasts %d us", b.tierLimit.evidence.minDuration)
+	if duration := b.tierLimit.evidence.minDuration; duration != roundObjectives*800_000 {
+		t.Errorf("a round lasts %d us, want %d", duration, roundObjectives*800_000)
 	}
 }
 
+// Classes without names, as in settings written by hand, are identified by their index.
 func TestReconfigureMatchesUnnamedClassesByIndex(t *testing.T) {
 	b, _ := newWithEndpoints(t, testSettings(), 1)
 	b.classes[1].limit.max, b.classes[4].limit.max = 30, 50
 	s := testSettings()
 	s.Classes = append(s.Classes[:4:4], s.Classes...)
 	mustReconfigure(t, b, s)
-	if b.classes[1].limit.max != 30 || b.classes[4].limit.max != 50 || b.classes[5].limit.max != initialLimit {
-		t.Errorf("counts %v, %v, %v", b.classes[1].limit.max, b.classes[4].limit.max, b.classes[5].limit.max)
+	for i, want := range map[int]float64{1: 30, 4: 50, 5: initialLimit} {
+		if got := b.classes[i].limit.max; got != want {
+			t.Errorf("limit of class %d: %v, want %v", i, got, want)
+		}
 	}
 }
 
-// TestReconfigureCopiesSettings modifies the settings after they have been handed over.
+// The caller may modify settings after it has handed them over.
 func TestReconfigureCopiesSettings(t *testing.T) {
 	s := named(testSettings())
 	b, h := newWithEndpoints(t, s, 4)
 	other := named(testSettings())
 	mustReconfigure(t, b, other)
-	s.Classes[2].Idempotency, other.Classes[2].Idempotency = Idempotent, Idempotent
-	sendRequest(b, h, testStart, "r", 2)
-	if b.HandleOutcome(testStart+1000, h, Outcome{ID: "r", Status: Reset, Latency: 1000}); h.last() != "fail r" {
-		t.Errorf("got %q", h.last())
+	s.Classes[notIdempotentClass].Idempotency, other.Classes[notIdempotentClass].Idempotency = Idempotent, Idempotent
+	sendRequest(b, h, testStart, "r", notIdempotentClass)
+	b.HandleOutcome(testStart+1000, h, Outcome{ID: "r", Status: Reset, Latency: 1000})
+	if h.last() != "fail r" {
+		t.Errorf("got %q, want a failure", h.last())
 	}
 }
--- a/balancer/rules_checker_test.go
+++ b/balancer/rules_checker_test.go
@@ -1,27 +1,26 @@
 package balancer
 
-import (
-	"fmt"
-)
+import "fmt"
 
-// rulesChecker is a Host that checks the rules by its own books, which share nothing with the module.
+// rulesChecker is a Host that checks what a Balancer does against the protocol's rules. It keeps records of its own,
+// which share nothing with the Balancer.
 type rulesChecker struct {
 	settings      Settings
 	now           Microseconds
 	actions       []string
 	requests      map[string]*trackedRequest
-	listed        map[string]Endpoint     // what the list last said
-	notReadySince map[string]Microseconds // when it first said that a endpoint drains or is gone
+	listed        map[string]Endpoint     // as last updated
+	notReadySince map[string]Microseconds // when an endpoint was first listed as draining or removed
 	violations    []string
 	timers        []pendingTimer
 	subscriptions int
-	requestTimes  []Microseconds               // when requests came
-	retryTimes    []Microseconds               // when attempts beyond a request's first were sent
-	queues        map[string][]*trackedRequest // of each key: what must keep its order, as it came
-	cooldownUntil map[string]Microseconds      // when a key may go on after an attempt that may still run
+	requestTimes  []Microseconds               // when requests arrived
+	retryTimes    []Microseconds               // when retries were sent
+	queues        map[string][]*trackedRequest // by key: requests that must keep their order, as they arrived
+	cooldownUntil map[string]Microseconds      // by key: when an attempt that may still run has ended
 }
 
-// pendingTimer is one that the module has asked for.
+// pendingTimer is a timer that the Balancer has set.
 type pendingTimer struct {
 	due   Microseconds
 	token string
@@ -30,61 +29,67 @@
 // trackedRequest is what the checker knows of a request.
 type trackedRequest struct {
 	request  Request
-	class    Class // as it was when the request came
-	closed   bool
+	class    Class // as it was when the request arrived
+	closed   bool  // it has its final answer, or its client has cancelled
 	attempts []*trackedAttempt
-	pending  []int
+	pending  []int // attempts without outcome
 }
 
-// trackedAttempt is one attempt.
+// trackedAttempt is what the checker knows of an attempt.
 type trackedAttempt struct {
 	endpoint   Endpoint
 	sentAt     Microseconds
 	timeout    Microseconds
 	settings   Settings // in force when it was sent
 	ended      bool
-	mayHaveRun bool // may have run
+	mayHaveRun bool // nothing proves that it never ran
 }
 
+// timesOutAt is when the attempt is given up.
+func (a *trackedAttempt) timesOutAt() Microseconds { return a.sentAt + a.timeout }
+
+// violation records that a rule was broken.
 func (c *rulesChecker) violation(format string, a ...any) {
 	c.violations = append(c.violations, fmt.Sprintf("at %d: ", c.now-testStart)+fmt.Sprintf(format, a...))
 }
 
-func (c *rulesChecker) Send(id, endpoint string, timeout, lapse Microseconds) {
+func (c *rulesChecker) Send(id, endpoint string, timeout, dedupDeadline Microseconds) {
 	c.actions = append(c.actions, fmt.Sprintf("%d send %s %s %d", c.now, id, endpoint, timeout))
-	k := c.requests[id]
-	if k == nil || k.closed {
+	req := c.requests[id]
+	if req == nil || req.closed {
 		c.violation("rule 1: %s sent after its end", id)
 		return
 	}
-	s, known := c.listed[endpoint]
+	listed, known := c.listed[endpoint]
 	if !known {
 		c.violation("%s sent to unknown %s", id, endpoint)
 		return
 	}
-	if left, ok := c.notReadySince[endpoint]; ok && c.now-left > c.settings.DrainGrace {
-		c.violation("rule 3: %s sent to %s, which left %d us ago", id, endpoint, c.now-left)
+	if since, ok := c.notReadySince[endpoint]; ok && c.now-since > c.settings.DrainGrace {
+		c.violation("rule 3: %s sent to %s, which is not ready since %d us", id, endpoint, c.now-since)
 	}
-	if len(k.attempts) >= c.settings.MaxAttempts {
+	if len(req.attempts) >= c.settings.MaxAttempts {
 		c.violation("%s sent more than %d times", id, c.settings.MaxAttempts)
 	}
-	for _, t := range k.attempts {
-		c.checkRepeat(k, t, s, lapse)
+	for _, earlier := range req.attempts {
+		c.checkRetry(req, earlier, listed, dedupDeadline)
 	}
-	if len(k.attempts) > 0 {
+	if len(req.attempts) > 0 {
 		c.checkBudget(id)
 	}
-	c.checkOrder(k)
-	if timeout < 0 || c.now+timeout > k.request.Deadline {
-		c.violation("rule 1: %s may run %d us past its time", id, c.now+timeout-k.request.Deadline)
+	c.checkOrder(req)
+	if timeout < 0 || c.now+timeout > req.request.Deadline {
+		c.violation("rule 1: %s may run %d us past its deadline", id, c.now+timeout-req.request.Deadline)
 	}
 	if timeout == 0 {
-		timeout = k.request.Deadline - c.now
+		timeout = req.request.Deadline - c.now
 	}
-	k.pending = append(k.pending, len(k.attempts))
-	k.attempts = append(k.attempts, &trackedAttempt{endpoint: s, sentAt: c.now, timeout: timeout, settings: c.settings, mayHaveRun: true})
+	req.pending = append(req.pending, len(req.attempts))
+	req.attempts = append(req.attempts, &trackedAttempt{endpoint: listed, sentAt: c.now, timeout: timeout,
+		settings: c.settings, mayHaveRun: true})
 }
 
+// checkBudget records a retry and checks the retry budget.
 func (c *rulesChecker) checkBudget(id string) {
 	c.retryTimes = append(c.retryTimes, c.now)
 	within := func(times []Microseconds) (n float64) {
@@ -95,59 +100,63 @@
 		}
 		return n
 	}
-	if c.settings.RetryBudgetWindow > 0 && within(c.retryTimes) > c.settings.RetryBudgetMin+c.settings.RetryBudgetRatio*within(c.requestTimes) {
-		c.violation("rule 6: %s sent beyond the budget", id)
+	most := c.settings.RetryBudgetMin + c.settings.RetryBudgetRatio*within(c.requestTimes)
+	if c.settings.RetryBudgetWindow > 0 && within(c.retryTimes) > most {
+		c.violation("rule 6: %s sent beyond the retry budget", id)
 	}
 }
 
-func (c *rulesChecker) checkOrder(k *trackedRequest) {
-	if !k.class.OrderedByKey || k.request.Key == "" {
+// checkOrder checks a request that must keep its key's order.
+func (c *rulesChecker) checkOrder(req *trackedRequest) {
+	if !req.class.OrderedByKey || req.request.Key == "" {
 		return
 	}
-	for _, earlier := range c.queues[k.request.Key] {
-		if earlier == k {
+	for _, earlier := range c.queues[req.request.Key] {
+		if earlier == req {
 			break
 		}
 		if !earlier.closed || len(earlier.pending) > 0 {
-			c.violation("rule 5: %s sent before %s was over", k.request.ID, earlier.request.ID)
+			c.violation("rule 5: %s sent before %s had ended", req.request.ID, earlier.request.ID)
 		}
 	}
-	if len(k.attempts) == 0 && c.now < c.cooldownUntil[k.request.Key] {
-		c.violation("rule 5: %s sent %d us before its key had rested", k.request.ID, c.cooldownUntil[k.request.Key]-c.now)
+	if until := c.cooldownUntil[req.request.Key]; len(req.attempts) == 0 && c.now < until {
+		c.violation("rule 5: %s sent %d us before the end of its key's cooldown", req.request.ID, until-c.now)
 	}
 }
 
-func (c *rulesChecker) checkRepeat(k *trackedRequest, earlier *trackedAttempt, to Endpoint, lapse Microseconds) {
-	class := k.class
+// checkRetry checks a retry against an earlier attempt.
+func (c *rulesChecker) checkRetry(req *trackedRequest, earlier *trackedAttempt, to Endpoint, dedupDeadline Microseconds) {
+	class := req.class
 	if !earlier.ended {
-		c.violation("%s has two attempts out", k.request.ID)
+		c.violation("%s has two attempts outstanding", req.request.ID)
 	}
 	if !earlier.mayHaveRun || class.Idempotency == Idempotent {
 		return
 	}
-	sameGroup := class.DedupScope == DedupTier || class.DedupScope == DedupZone && earlier.endpoint.Zone == to.Zone ||
+	sameScope := class.DedupScope == DedupTier || class.DedupScope == DedupZone && earlier.endpoint.Zone == to.Zone ||
 		class.DedupScope == DedupCell && earlier.endpoint.Cell == to.Cell
-	if class.Idempotency == NotIdempotent || !sameGroup || c.now-earlier.sentAt > class.DedupWindow {
-		c.violation("rule 2: %s of class %d sent again after it may have run", k.request.ID, k.request.Class)
+	if class.Idempotency == NotIdempotent || !sameScope || c.now-earlier.sentAt > class.DedupWindow {
+		c.violation("rule 2: %s of class %d sent again after it may have run", req.request.ID, req.request.Class)
 	}
-	if lapse == 0 || lapse > earlier.sentAt+class.DedupWindow {
-		c.violation("rule 2: %s may be sent again until %d, its window ends at %d", k.request.ID, lapse, earlier.sentAt+class.DedupWindow)
+	if end := earlier.sentAt + class.DedupWindow; dedupDeadline == 0 || dedupDeadline > end {
+		c.violation("rule 2: %s may be sent again until %d, its dedup window ends at %d", req.request.ID, dedupDeadline, end)
 	}
 }
 
-func (c *rulesChecker) Reject(id string, after Microseconds) {
+func (c *rulesChecker) Reject(id string, retryAfter Microseconds) {
 	c.actions = append(c.actions, fmt.Sprintf("%d reject %s", c.now, id))
-	k := c.close(id)
-	if k == nil {
+	req := c.close(id)
+	if req == nil {
 		return
 	}
-	class := k.class
-	for _, t := range k.attempts {
-		if t.mayHaveRun && class.Idempotency != Idempotent && !(class.Idempotency == IdempotentWithKey && class.DedupScope == DedupTier) {
+	class := req.class
+	droppedByTier := class.Idempotency == IdempotentWithKey && class.DedupScope == DedupTier
+	for _, a := range req.attempts {
+		if a.mayHaveRun && class.Idempotency != Idempotent && !droppedByTier {
 			c.violation("rule 2: %s rejected after it may have run", id)
 		}
-		if t.mayHaveRun && class.Idempotency == IdempotentWithKey && c.now+after >= t.sentAt+class.DedupWindow {
-			c.violation("rule 2: %s asked to come again when it may have been forgotten", id)
+		if a.mayHaveRun && class.Idempotency == IdempotentWithKey && c.now+retryAfter >= a.sentAt+class.DedupWindow {
+			c.violation("rule 2: %s rejected until after its dedup window", id)
 		}
 	}
 }
@@ -157,26 +166,29 @@
 	c.close(id)
 }
 
+// close records a request's final answer; it returns nil for a request that has had one.
 func (c *rulesChecker) close(id string) *trackedRequest {
-	k := c.requests[id]
-	if k == nil || k.closed {
+	req := c.requests[id]
+	if req == nil || req.closed {
 		c.violation("rule 1: %s answered twice", id)
 		return nil
 	}
-	if c.now > k.request.Deadline {
-		c.violation("rule 1: %s answered %d us late", id, c.now-k.request.Deadline)
+	if c.now > req.request.Deadline {
+		c.violation("rule 1: %s answered %d us late", id, c.now-req.request.Deadline)
 	}
-	k.closed = true
-	return k
+	req.closed = true
+	return req
 }
 
 func (c *rulesChecker) SetTimer(delay Microseconds, token string) {
 	c.timers = append(c.timers, pendingTimer{c.now + delay, token})
 }
-func (c *rulesChecker) Log(line string) {}
-func (c *rulesChecker) Subscribe()      { c.subscriptions++ }
 
-// recordUpdate records what a list says, as the wire's page words it.
+func (c *rulesChecker) Log(string) {}
+
+func (c *rulesChecker) Subscribe() { c.subscriptions++ }
+
+// recordUpdate records an update of the endpoint list.
 func (c *rulesChecker) recordUpdate(kind UpdateKind, entries []Endpoint) {
 	listed := map[string]bool{}
 	for _, e := range entries {
