--- a/internal/proxy/console.go
+++ b/internal/proxy/console.go
@@ -10,6 +10,8 @@
 	"net/http"
 	"strings"
 	"time"
+
+	"baylock/internal/clientconn"
 )
 
 const (
@@ -42,7 +44,7 @@
 
 // adminServer is the operators' console: HTTP with one call to a connection.
 type adminServer struct {
-	connections *clients
+	connections *clientconn.Listener
 	server      *http.Server
 	calls       map[string]adminCall
 	log         *slog.Logger
@@ -64,9 +66,11 @@
 func (e *callError) Error() string { return e.reason }
 
 func newAdminServer(operations Operations, log *slog.Logger) *adminServer {
-	s := &adminServer{connections: newClients(nil, adminMaxConnections), log: log, calls: adminCalls(operations)}
-	s.connections.just = 0 // incomplete calls are evicted, however new
-	s.connections.mayWait = true
+	s := &adminServer{
+		connections: clientconn.NewListener(nil, clientconn.Options{MaxConnections: adminMaxConnections, WaitForCapacity: true}),
+		log:         log,
+		calls:       adminCalls(operations),
+	}
 	s.server = &http.Server{
 		Handler:           s,
 		ReadHeaderTimeout: adminHeadTimeout,
@@ -74,13 +78,11 @@
 		WriteTimeout:      adminWriteTimeout,
 		MaxHeaderBytes:    adminMaxHeadBytes,
 		ErrorLog:          quietLog(log),
-		ConnContext: func(ctx context.Context, connection net.Conn) context.Context {
-			return context.WithValue(ctx, clientKey{}, connection)
-		},
+		ConnContext:       clientconn.ConnContext,
 		// readCall marks a connection as active when its call is complete: one that waits for a body can be evicted.
 		ConnState: func(connection net.Conn, state http.ConnState) {
 			if state != http.StateActive {
-				s.connections.state(connection, state)
+				s.connections.TrackState(connection, state)
 			}
 		},
 	}
@@ -164,8 +166,8 @@
 	if backendID, err = readBackendID(w, r, call.takesBackend); err != nil {
 		return "", "", err
 	}
-	if connection, ok := r.Context().Value(clientKey{}).(*clientConn); ok {
-		s.connections.state(connection, http.StateActive)
+	if connection := clientconn.FromContext(r.Context()); connection != nil {
+		s.connections.TrackState(connection, http.StateActive)
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), adminOperationTimeout)
 	defer cancel()
