--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -105,3 +105,37 @@
 		}
 	}
 }
+
+func TestHandleRequestIgnoresKnownID(t *testing.T) {
+	b, h := newWithEndpoints(t, testSettings(), 4)
+	sendRequest(b, h, testStart, "r", idempotentClass)
+	sendRequest(b, h, testStart+1, "r", idempotentClass)
+	if len(h.sends) != 1 || len(h.actions) != 1 {
+		t.Errorf("actions %q, want one send", h.actions)
+	}
+}
+
+func TestHandleRequestFailsUnknownClass(t *testing.T) {
+	for _, class := range []int{-1, len(testSettings().Classes)} {
+		t.Run(fmt.Sprint("class ", class), func(t *testing.T) {
+			b, h := newWithEndpoints(t, testSettings(), 4)
+			sendRequest(b, h, testStart, "r", class)
+			if len(h.actions) != 1 || h.last() != "fail r" || len(b.requests) != 0 {
+				t.Errorf("actions %q, %d requests kept, want a failure and none", h.actions, len(b.requests))
+			}
+		})
+	}
+}
+
+func TestHandleOutcomeIgnoresUnknownAttempt(t *testing.T) {
+	for _, number := range []int{-1, 1} {
+		t.Run(fmt.Sprint("attempt ", number), func(t *testing.T) {
+			b, h := newWithEndpoints(t, testSettings(), 4)
+			sendRequest(b, h, testStart, "r", idempotentClass)
+			b.HandleOutcome(testStart+1000, h, Outcome{ID: "r", Attempt: number, Status: Error, Latency: 1000})
+			if len(h.actions) != 1 || b.tierLimit.inFlight != 1 {
+				t.Errorf("actions %q, %d in flight, want the send alone and 1", h.actions, b.tierLimit.inFlight)
+			}
+		})
+	}
+}
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -83,3 +83,23 @@
 		t.Errorf("%d of 400 first attempts went to the endpoint that rejects every other, want 70 or more", firstAttempts)
 	}
 }
+
+func TestWeightFollowsCapacityWithCapacityHints(t *testing.T) {
+	for _, c := range []struct {
+		hints bool
+		want  float64 // ratio of the weights
+	}{{true, 3}, {false, 1}} {
+		t.Run(fmt.Sprint("hints ", c.hints), func(t *testing.T) {
+			s := testSettings()
+			s.CapacityHints = c.hints
+			b, h := mustNew(t, s), &recorder{}
+			list := readyEndpoints(2)
+			list[1].Capacity = 3
+			b.UpdateEndpoints(testStart, h, FullUpdate, list)
+			small, large := b.endpoints.byID["s0"], b.endpoints.byID["s1"]
+			if got := b.weight(testStart, large, b.classes[0]) / b.weight(testStart, small, b.classes[0]); got != c.want {
+				t.Errorf("ratio %v, want %v", got, c.want)
+			}
+		})
+	}
+}
