--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -1,10 +1,10 @@
 package balancer
 
-// Where clients can open no more connections, this part of them and at least so many are kept idle, but no
-// more than half. A client that finds none idle takes the proxy for dead; a rejected one can go on at once.
+// Idle connections are reserved where clients can open no more, since a client that finds none idle takes the
+// proxy for dead, while a rejected one can go on at once.
 const (
-	idleConnectionPart = 8 // one in so many
-	minIdleConnections = 3
+	idleConnectionDivisor = 8 // one in so many connections
+	minIdleConnections    = 3 // at least, but no more than half of them
 )
 
 // admits checks the rules in their order: idle connections, the tier, the tenant, the class.
@@ -15,11 +15,11 @@
 	if req.quota != nil && !b.quotas.admits(now, req.quota, b.random.Float64()) {
 		return false
 	}
-	return req.state.limit.admits(b.random.Float64())
+	return req.classState.limit.admits(b.random.Float64())
 }
 
-// leavesIdleConnections tells whether clients have idle connections enough beside the request's.
+// leavesIdleConnections reports whether clients have idle connections enough beside the request's.
 func (req *request) leavesIdleConnections() bool {
-	connections := req.ClientConnections
-	return req.IdleConnections >= max(connections/idleConnectionPart, min(minIdleConnections, connections/2))
+	reserved := min(minIdleConnections, req.ClientConnections/2)
+	return req.IdleConnections >= max(req.ClientConnections/idleConnectionDivisor, reserved)
 }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -43,7 +43,7 @@
 }
 
 // HandleRequest takes a request, and sends or rejects it at once. Only a request that must wait for its key's
-// order is kept unsent, and no longer than it can still be answered in time. A request of an unknown class
+// order stays unsent, and no longer than it can still be answered in time. A request of an unknown class
 // fails; one whose ID is known already is ignored.
 func (b *Balancer) HandleRequest(now Microseconds, host Host, r Request) {
 	if b.requests[r.ID] != nil {
@@ -53,14 +53,14 @@
 		host.Fail(r.ID)
 		return
 	}
-	b.markSlowAttempts(now)
+	b.countSlowAttempts(now)
 	b.retries.recordRequest(now, b.settings)
 	req := &request{
-		Request:   r,
-		class:     &b.settings.Classes[r.Class],
-		state:     b.classes[r.Class],
-		quota:     b.quotas.recordArrival(now, r.Tenant),
-		arrivedAt: now,
+		Request:    r,
+		class:      &b.settings.Classes[r.Class],
+		classState: b.classes[r.Class],
+		quota:      b.quotas.recordArrival(now, r.Tenant),
+		arrivedAt:  now,
 	}
 	b.requests[r.ID] = req
 	if r.Key != "" && req.class.OrderedByKey {
@@ -115,15 +115,15 @@
 // countInFlight counts an attempt as a call in flight: its endpoint has all of it and may begin.
 func (b *Balancer) countInFlight(req *request, a *attempt) {
 	if b.settings.Tier == 0 {
-		req.state.unmarked = append(req.state.unmarked, a)
+		req.classState.notYetSlow = append(req.classState.notYetSlow, a)
 	}
 	b.tierLimit.acquire()
-	req.state.limit.acquire()
+	req.classState.limit.acquire()
 	a.inFlight = true
 }
 
-// RequestUploaded tells that the last byte of a streamed request has been sent, and when its client abandons
-// it. Its time counts from here: what the client took to write it shows nothing of endpoints.
+// RequestUploaded takes the end of a streamed request's upload, and when its client abandons it. Latency
+// counts from here: what the client took to write the body shows nothing of endpoints.
 func (b *Balancer) RequestUploaded(now Microseconds, id string, deadline Microseconds) {
 	req := b.requests[id]
 	if req == nil || !req.Streaming || len(req.attempts) == 0 {
@@ -136,14 +136,14 @@
 	}
 }
 
-// ResponseStarted tells that a streamed response has begun: the client gets that attempt's and no other.
+// ResponseStarted takes the start of a streamed response: the client gets that attempt's and no other.
 func (b *Balancer) ResponseStarted(_ Microseconds, id string) {
 	if req := b.requests[id]; req != nil {
 		req.done = true
 	}
 }
 
-// CancelRequest tells that the client waits for a request no longer.
+// CancelRequest takes the end of a client's wait for a request.
 func (b *Balancer) CancelRequest(now Microseconds, host Host, id string) {
 	if req := b.requests[id]; req != nil {
 		b.finish(now, host, req)
@@ -161,7 +161,7 @@
 	if a == nil {
 		return
 	}
-	b.markSlowAttempts(now)
+	b.countSlowAttempts(now)
 	b.endAttempt(req, a, o.Status)
 	b.learn(now, req, a, o)
 	b.report(now, host)
@@ -192,7 +192,7 @@
 	req.outstanding--
 	if a.inFlight {
 		b.tierLimit.release()
-		req.state.limit.release()
+		req.classState.limit.release()
 	}
 }
 
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -86,7 +86,7 @@
 	}
 	unmarked := 0
 	for _, class := range b.classes {
-		unmarked += len(class.unmarked)
+		unmarked += len(class.notYetSlow)
 	}
 	for _, c := range []struct {
 		what      string
--- a/balancer/class.go
+++ b/balancer/class.go
@@ -5,12 +5,12 @@
 
 // classState is what was learned of a class. It outlives a change of the settings that keeps the class.
 type classState struct {
-	slot          int // index into endpoint.perClass, or noSlot
-	limit         concurrencyLimit
-	yieldEvidence evidenceRound // of calls of classes with clearly greater value
-	latency       latencyEstimate
-	errorRate     float64    // running fraction of failed calls, over all endpoints
-	unmarked      []*attempt // at the front tier: in order of sending, those not yet counted as slow
+	slot               int // index into endpoint.perClass, or noSlot
+	limit              concurrencyLimit
+	preemptionEvidence evidenceRound // of calls of classes with clearly greater priority
+	latency            latencyEstimate
+	errorRate          float64    // running fraction of failed calls, over all endpoints
+	notYetSlow         []*attempt // at the front tier: in order of sending, those not yet counted as slow
 }
 
 // newClassState returns the state of a class that nothing is known of.
--- a/balancer/crosszone_test.go
+++ b/balancer/crosszone_test.go
@@ -11,7 +11,7 @@
 		for range rounds * minRoundSamples {
 			now++
 			a := &attempt{class: &b.settings.Classes[0], sentAt: now, zone: b.settings.Zone}
-			b.applyPressure(now, class, a, pressure{slow: slow, speed: speedOf(false, !slow)})
+			b.applyBackpressure(now, class, a, callResult{slow: slow, speed: speedOf(false, !slow)})
 		}
 	}
 	feed(60, false)
--- a/balancer/deadline.go
+++ b/balancer/deadline.go
@@ -13,9 +13,9 @@
 	return req.Deadline
 }
 
-// canFinishInTime tells whether a request can still be answered before its deadline.
+// canFinishInTime reports whether a request can still be answered before its deadline.
 func (req *request) canFinishInTime(now Microseconds, s *Settings) bool {
-	return float64(req.deadline(s)-now) > minRemainingMeans*req.state.latency.mean
+	return float64(req.deadline(s)-now) > minRemainingMeans*req.classState.latency.mean
 }
 
 // attemptTimeout gives the latest attempt up when its answer would have no value, or before where another may
@@ -23,7 +23,7 @@
 func (b *Balancer) attemptTimeout(now Microseconds, req *request) Microseconds {
 	timeout := req.deadline(b.settings) - now
 	if req.class.Idempotency != NotIdempotent && len(req.attempts) < b.settings.MaxAttempts {
-		timeout = min(timeout, Microseconds(attemptTimeoutMeans*req.state.latency.mean))
+		timeout = min(timeout, Microseconds(attemptTimeoutMeans*req.classState.latency.mean))
 	}
 	return max(timeout, 1)
 }
--- a/balancer/evidence.go
+++ b/balancer/evidence.go
@@ -89,14 +89,14 @@
 	return signal, 1 - decreaseFactor*badFraction
 }
 
-// complete tells whether the samples are enough. A round that can only turn out bad is complete early, and
+// complete reports whether the samples are enough. A round that can only turn out bad is complete early, and
 // one of few samples completes by time only when it is good.
 func (r *evidenceRound) complete(now Microseconds) bool {
 	tooShort := now-r.start < r.minDuration || float64(r.bad) > r.allowedBad*float64(r.samples)
 	return float64(r.bad) > r.allowedBad*minRoundSamples || r.samples >= minRoundSamples || !tooShort
 }
 
-// signal tells what a complete round shows.
+// signal returns what a complete round shows.
 func (r *evidenceRound) signal(badFraction float64) loadSignal {
 	minFast := max(minFastAnswerFraction*float64(r.answered), minFastFraction*float64(r.samples))
 	switch {
--- a/balancer/feedback_test.go
+++ b/balancer/feedback_test.go
@@ -5,35 +5,35 @@
 	"testing"
 )
 
-func TestApplyPressureCutsClassOfLessValue(t *testing.T) {
+func TestApplyBackpressureCutsClassOfLowerPriority(t *testing.T) {
 	s := testSettings()
 	s.Classes[1].PriorityWeight = 40
 	b, _ := newWithEndpoints(t, s, 4)
-	lowValue, highValue := &b.classes[0].limit, &b.classes[1].limit
+	lowPriority, highPriority := &b.classes[0].limit, &b.classes[1].limit
 	for range 10 {
-		lowValue.acquire()
-		highValue.acquire()
+		lowPriority.acquire()
+		highPriority.acquire()
 	}
 	now, nearObjective := testStart, s.Classes[1].LatencyObjective*3/4
 	feedSlow := func(class int) {
 		for range 4 * minRoundSamples {
 			now += 2 * nearObjective
 			a := &attempt{class: &b.settings.Classes[class], sentAt: now - nearObjective}
-			b.applyPressure(now, b.classes[class], a, pressure{slow: true, speed: slowResponse})
+			b.applyBackpressure(now, b.classes[class], a, callResult{slow: true, speed: slowResponse})
 		}
 	}
 	feedSlow(1)
-	if lowValue.max > 10 || highValue.max != initialLimit {
-		t.Errorf("slow calls of the class of greater value leave limits %v and %v", lowValue.max, highValue.max)
+	if lowPriority.max > 10 || highPriority.max != initialLimit {
+		t.Errorf("slow calls of the class of higher priority leave limits %v and %v", lowPriority.max, highPriority.max)
 	}
 	feedSlow(0)
-	if highValue.max != initialLimit {
-		t.Errorf("slow calls of the class of less value cut the other's limit to %v", highValue.max)
+	if highPriority.max != initialLimit {
+		t.Errorf("slow calls of the class of lower priority cut the other's limit to %v", highPriority.max)
 	}
 }
 
-// A third of the calls of the class of greater value take much longer than the rest, all well within the objective.
-func TestApplyPressureIgnoresVaryingLatency(t *testing.T) {
+// A third of the calls of the class of higher priority take much longer than the rest, all well within the objective.
+func TestApplyBackpressureIgnoresVaryingLatency(t *testing.T) {
 	s := testSettings()
 	s.Classes[1].PriorityWeight = 40
 	b, h := newWithEndpoints(t, s, 4)
--- a/balancer/handover.go
+++ b/balancer/handover.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// LearnedState is what a Balancer has learned, for the one of the process that takes its place. It is stored as
-// JSON, whose keys are those of earlier versions.
+// LearnedState is what a Balancer has learned, for the one of the process that takes its place. It is stored
+// as JSON, whose keys are those of earlier versions.
 type LearnedState struct {
 	TierLimit       float64                    `json:"tier"`  // calls in flight
 	QuotaMultiplier float64                    `json:"share"` // multiple of its quota that a tenant may pass
@@ -56,8 +56,8 @@
 	return learned
 }
 
-// ImportState has a new Balancer begin where another stands. Values out of range are left out one by one, and so
-// are endpoints that have restarted since. Classes are identified by their names, since the other Balancer
+// ImportState has a new Balancer begin where another stands. Values out of range are left out one by one, and
+// so are endpoints that have restarted since. Classes are identified by their names, since the other Balancer
 // may have other settings. What the other one has in flight is not counted here.
 func (b *Balancer) ImportState(learned LearnedState) {
 	setInRange(&b.tierLimit.max, learned.TierLimit, b.tierLimit.floor, initialLimit)
--- a/balancer/limit.go
+++ b/balancer/limit.go
@@ -30,7 +30,7 @@
 // release ends what acquire began.
 func (l *concurrencyLimit) release() { l.inFlight-- }
 
-// admits tells whether the limit allows one call more. The limit's fraction is the chance of one call more,
+// admits reports whether the limit allows one call more. The limit's fraction is the chance of one call more,
 // u being uniform in [0, 1): at a replica with few calls in flight whole numbers are too coarse.
 func (l *concurrencyLimit) admits(u float64) bool { return float64(l.inFlight)+1 <= l.max+u }
 
--- a/balancer/ordered_keys.go
+++ b/balancer/ordered_keys.go
@@ -43,7 +43,7 @@
 	if len(req.attempts) > 0 || req.done {
 		return
 	}
-	latency := req.state.latency.mean
+	latency := req.classState.latency.mean
 	remaining := float64(req.deadline(b.settings)-now) - minRemainingMeans*latency
 	if float64(len(req.queue.waiting)-1)*latency > remaining {
 		b.reject(now, host, req)
@@ -67,5 +67,5 @@
 	host.SetTimer(cooldown, timerToken{kind: cooldownTimer, subject: req.Key}.String())
 }
 
-// mayStillRun tells whether an endpoint may go on with an attempt that ended so.
+// mayStillRun reports whether an endpoint may go on with an attempt that ended so.
 func (s Status) mayStillRun() bool { return s == TimedOut || s == Reset || s == Cancelled }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -38,18 +38,18 @@
 	}
 	for _, ep := range b.endpoints.all {
 		if b.outliers.record(ep, b.classes[0], Error) {
-			t.Errorf("%s is blamed for what its peers show", ep.ID)
+			t.Errorf("%s: a failure that its peers show counts as its own", ep.ID)
 		}
 	}
 }
 
 // All endpoints refuse connections alike when a zone is lost.
-func TestOutlierDetectorBlamesFailedConnections(t *testing.T) {
+func TestOutlierDetectorCountsFailedConnectionAsOwnFault(t *testing.T) {
 	b, _ := newWithEndpoints(t, testSettings(), 8)
 	for range 5 {
 		for _, ep := range b.endpoints.all {
 			if !b.outliers.record(ep, b.classes[0], ConnectFailed) {
-				t.Fatalf("%s is not blamed for a failed connection", ep.ID)
+				t.Fatalf("%s: a failed connection does not count as its own", ep.ID)
 			}
 		}
 	}
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -33,7 +33,7 @@
 	if weight == 0 {
 		return nil
 	}
-	totals := b.picker.discountInFlight(req.state, weightedInFlight/weight)
+	totals := b.picker.discountInFlight(req.classState, weightedInFlight/weight)
 	overload := max(1, slowStartOverloadMargin*b.settings.SlowStartOverload)
 	if x := b.random.Float64() * max(totals.all, (totals.all+totals.deficit)/overload); x < totals.all {
 		return b.picker.at(x)
@@ -54,9 +54,9 @@
 			break
 		}
 		c := candidate{endpoint: ep, slowStartFactor: b.settings.slowStartFactor(now, ep)}
-		missing -= ep.healthFactor(req.state) * c.slowStartFactor
-		if req.mayFollow(now, ep) {
-			c.weight = b.weight(now, ep, req.state)
+		missing -= ep.healthFactor(req.classState) * c.slowStartFactor
+		if req.mayRetryAt(now, ep) {
+			c.weight = b.weight(now, ep, req.classState)
 		}
 		if req.triedEndpoint(ep) {
 			c.weight *= triedWeight
--- a/balancer/quota.go
+++ b/balancer/quota.go
@@ -25,7 +25,7 @@
 	arrivals decayingCount // requests
 }
 
-// admits tells whether the tenant may have one request more at rate requests a second. Windows grow beyond
+// admits reports whether the tenant may have one request more at rate requests a second. Windows grow beyond
 // one second, so that fractional rates work, but not beyond the replica's age. burst is the chance that an
 // excess which may be chance is admitted; u is uniform in [0, 1).
 func (t *tenantQuota) admits(now, firstRequestAt Microseconds, rate, burst, u float64) bool {
@@ -73,7 +73,7 @@
 	return quota
 }
 
-// admits tells whether a tenant may have one request more; u is uniform in [0, 1).
+// admits reports whether a tenant may have one request more; u is uniform in [0, 1).
 func (q *tenantQuotas) admits(now Microseconds, t *tenantQuota, u float64) bool {
 	rate := q.multiplier * q.fairRate * t.fraction
 	return t.admits(now, q.firstRequestAt, rate, q.burstAllowance(now, t), u)
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -155,12 +155,12 @@
 	}
 }
 
-// pressRounds feeds that many rounds of samples that are all slow, or all fast.
-func pressRounds(b *Balancer, from Microseconds, rounds int, slow bool) {
+// feedRounds feeds that many rounds of samples that are all slow, or all fast.
+func feedRounds(b *Balancer, from Microseconds, rounds int, slow bool) {
 	for i := range rounds * minRoundSamples {
 		now := from + Microseconds(i)
 		a := &attempt{class: &b.settings.Classes[0], sentAt: now}
-		b.applyPressure(now, b.classes[0], a, pressure{slow: slow, speed: speedOf(false, !slow)})
+		b.applyBackpressure(now, b.classes[0], a, callResult{slow: slow, speed: speedOf(false, !slow)})
 	}
 }
 
@@ -182,7 +182,7 @@
 		}
 		now := testStart + 2*second + Microseconds(i)
 		a := &attempt{class: &b.settings.Classes[0], sentAt: now}
-		b.applyPressure(now, b.classes[0], a, pressure{slow: true, speed: slowResponse})
+		b.applyBackpressure(now, b.classes[0], a, callResult{slow: true, speed: slowResponse})
 	}
 	if b.quotas.multiplier < minQuotaMultiplier || b.quotas.multiplier >= 1 {
 		t.Errorf("the multiplier is %v after an overload, want less than 1", b.quotas.multiplier)
@@ -194,7 +194,7 @@
 	s.Tenants = []Tenant{{QuotaFraction: 1, RateQuota: 20}}
 	b, _ := newWithEndpoints(t, s, 8)
 	b.quotas.multiplier = overloadQuotaMultiplier
-	pressRounds(b, testStart, 12, false)
+	feedRounds(b, testStart, 12, false)
 	if b.quotas.multiplier != initialQuotaMultiplier {
 		t.Errorf("the multiplier is %v, want %v", b.quotas.multiplier, initialQuotaMultiplier)
 	}
@@ -207,7 +207,7 @@
 		for i := range Microseconds(20 * minRoundSamples) {
 			now, bad := from+i, i%3 > 0
 			a := &attempt{class: &b.settings.Classes[0], sentAt: now}
-			b.applyPressure(now, b.classes[0], a, pressure{slow: bad, speed: speedOf(bad && fast, fast)})
+			b.applyBackpressure(now, b.classes[0], a, callResult{slow: bad, speed: speedOf(bad && fast, fast)})
 		}
 	}
 	feed(testStart, true)
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -3,8 +3,8 @@
 import "slices"
 
 // Reconfigure puts other settings in force, for all that is decided from now on. They are checked completely
-// first. On an error, which is a *FieldError, nothing has changed; Tier and SubscribeRequired cannot change at
-// all.
+// first. On an error, which is a *FieldError, nothing has changed; Tier and SubscribeRequired cannot change
+// at all.
 //
 // Classes and tenants are identified by their names. What was learned of those that stay, of endpoints and of
 // the tier is kept; new ones begin as in New. A request that has arrived keeps its class as it was then, also
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -4,7 +4,7 @@
 type request struct {
 	Request
 	class       *Class // as it was when the request arrived
-	state       *classState
+	classState  *classState
 	quota       *tenantQuota // of its tenant; nil without one
 	arrivedAt   Microseconds
 	queue       *keyQueue // nil if it need not wait for requests with its key
@@ -28,7 +28,7 @@
 	reintroduction bool         // the first attempt at an endpoint that operators have attached
 }
 
-// mayHaveRun tells whether nothing proves that the attempt never ran.
+// mayHaveRun reports whether nothing proves that the attempt never ran.
 func (a *attempt) mayHaveRun() bool { return a.mayRun }
 
 // outstandingAttempt returns the attempt of that number, or nil if there is none without outcome.
@@ -39,7 +39,7 @@
 	return req.attempts[number]
 }
 
-// triedEndpoint tells whether an attempt of the request went to the endpoint.
+// triedEndpoint reports whether an attempt of the request went to the endpoint.
 func (req *request) triedEndpoint(ep *endpoint) bool {
 	for _, a := range req.attempts {
 		if a.endpoint == ep {
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -26,8 +26,8 @@
 	r.retries.add(now, max(s.RetryBudgetWindow, retryHistory))
 }
 
-// exhausted tells whether a retry would be over the budget. The budget is exact in the window that ends now:
-// a retry at its far edge counts, a request there does not.
+// exhausted reports whether a retry would be over the budget. The budget is exact in the window that ends
+// now: a retry at its far edge counts, a request there does not.
 func (r *retryBudget) exhausted(now Microseconds, s *Settings) bool {
 	from := now - s.RetryBudgetWindow
 	return r.retries.since(from)+1 > s.RetryBudgetMin+s.RetryBudgetRatio*r.requests.since(from+1)
@@ -38,7 +38,7 @@
 func (b *Balancer) retry(now Microseconds, host Host, req *request) bool {
 	u := b.random.Float64()
 	if len(req.attempts) >= b.settings.MaxAttempts || !req.canFinishInTime(now, b.settings) ||
-		!b.tierLimit.admits(u) || !req.state.limit.admits(u) || b.retries.exhausted(now, b.settings) {
+		!b.tierLimit.admits(u) || !req.classState.limit.admits(u) || b.retries.exhausted(now, b.settings) {
 		return false
 	}
 	if !b.send(now, host, req) {
@@ -59,10 +59,10 @@
 	return req.attempts[first].decidedAt + req.class.DedupWindow - dedupSendMargin
 }
 
-// mayFollow tells whether idempotency allows a further attempt at an endpoint: once an attempt may have run,
-// a request that is not idempotent goes nowhere, and one with an idempotency key only within the scope that
-// drops repeats, while that remembers it.
-func (req *request) mayFollow(now Microseconds, ep *endpoint) bool {
+// mayRetryAt reports whether idempotency allows a further attempt at an endpoint: once an attempt may have
+// run, a request that is not idempotent goes nowhere, and one with an idempotency key only within the scope
+// that drops repeats, while that remembers it.
+func (req *request) mayRetryAt(now Microseconds, ep *endpoint) bool {
 	class := req.class
 	for _, a := range req.attempts {
 		if !a.mayRun || class.Idempotency == Idempotent {
@@ -76,7 +76,7 @@
 	return true
 }
 
-// covers tells whether the endpoint drops repeats of an attempt.
+// covers reports whether the endpoint drops repeats of an attempt.
 func (s DedupScope) covers(a *attempt, ep *endpoint) bool {
 	switch s {
 	case DedupZone:
@@ -88,8 +88,8 @@
 	}
 }
 
-// mayReject tells whether a request may be rejected, which promises the client that a retry is harmless. Once
-// an attempt may have run, that holds only where all endpoints drop repeats, and for a client that comes
+// mayReject reports whether a request may be rejected, which promises the client that a retry is harmless.
+// Once an attempt may have run, that holds only where all endpoints drop repeats, and for a client that comes
 // again while they do.
 func (b *Balancer) mayReject(now Microseconds, req *request) bool {
 	class := req.class
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Idempotency tells whether requests of a class may run more than once.
+// Idempotency reports whether requests of a class may run more than once.
 type Idempotency int
 
 // The kinds of idempotency.
@@ -23,10 +23,10 @@
 // Class describes one class of requests.
 type Class struct {
 	Name             string       // identifies the class across Reconfigure; its index does if empty
-	LatencyObjective Microseconds // an answer within this has its full value; positive
+	LatencyObjective Microseconds // an answer within this has its full priority; positive
 	Deadline         Microseconds // the longest that a client waits, all attempts included; positive
-	PriorityWeight   float64      // value of one request
-	LateFraction     float64      // part of the value that an answer between objective and deadline has
+	PriorityWeight   float64      // priority of one request
+	LateFraction     float64      // part of the priority that an answer between objective and deadline has
 	Idempotency      Idempotency
 	DedupScope       DedupScope   // with IdempotentWithKey
 	DedupWindow      Microseconds // with IdempotentWithKey: how long repeats are dropped, from the first send that may have run
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -18,7 +18,7 @@
 	return slowStartMargin * (s.SlowStartCapacity + (1-s.SlowStartCapacity)*elapsed)
 }
 
-// reintroductionDue tells whether it is this replica's turn to give an attached endpoint its first call.
+// reintroductionDue reports whether this replica is due to give an attached endpoint its first call.
 func (s *Settings) reintroductionDue(now Microseconds, ep *endpoint) bool {
 	delay := Microseconds(s.ReplicaIndex) * s.SlowStartDuration / reintroductionSteps
 	return ep.reintroductionPending && now >= ep.attachedAt+delay
--- a/balancer/subscription.go
+++ b/balancer/subscription.go
@@ -22,8 +22,8 @@
 	host.Subscribe()
 }
 
-// fail takes the failure of a subscription or a poll. A retry follows after a backoff with jitter; failures
-// while none is requested are told of one that is already being retried.
+// fail takes the failure of a subscription or a poll. A retry follows after a backoff with jitter. Without a
+// requested subscription it does nothing: the retry is due already.
 func (s *subscription) fail(host Host, random *rand.Rand) {
 	if !s.requested {
 		return
