--- a/balancer/driver_test.go
+++ b/balancer/driver_test.go
@@ -197,7 +197,7 @@
 		d.completeUpdate(FullUpdate)
 	case x < 942:
 		d.balancer.UpdateEndpoints(d.now, d.checker, FailedUpdate, nil)
-	case x < 960 && len(d.checker.timers) > 0: // a timer that is no longer of use
+	case x < 960 && len(d.checker.timers) > 0: // a timer that may have fired already
 		d.balancer.TimerFired(d.now, d.checker, timerToken{kind: subscribeTimer}.String())
 	case x < 975:
 		d.cancel()
