--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -93,8 +93,9 @@
 			e.Group = 7
 			p.ApplyEndpoints(false, []discovery.Endpoint{e})
 		},
-		"attempt cancelled": func(_ *Pool, a *testAttempt) { a.cancel() },
-		"deadline passed":   func(_ *Pool, a *testAttempt) { a.Deadline = time.Now() },
+		"attempt cancelled":     func(_ *Pool, a *testAttempt) { a.cancel() },
+		"deadline passed":       func(_ *Pool, a *testAttempt) { a.Deadline = time.Now() },
+		"dedup deadline passed": func(_ *Pool, a *testAttempt) { a.DedupDeadline = time.Now() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := backendtest.Start(t, backendtest.Respond(backendtest.OK, true))
