--- /dev/null
+++ b/balancer/picker_test.go
@@ -0,0 +1,85 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+)
+
+func TestWeightFollowsLatencyAndFailures(t *testing.T) {
+	b, _ := newWithEndpoints(t, testSettings(), 2)
+	fast, slow, class := b.endpoints.byID["s0"], b.endpoints.byID["s1"], b.classes[0]
+	for range 200 {
+		class.latency.record(fast, 100_000)
+		class.latency.record(slow, 300_000)
+	}
+	before := b.weight(testStart, fast, class)
+	if slowWeight := b.weight(testStart, slow, class); before < 2*slowWeight {
+		t.Errorf("weights %v and %v, want the fast endpoint's twice the slow one's", before, slowWeight)
+	}
+	b.outliers.record(fast, class, Error)
+	if w := b.weight(testStart, fast, class); w > before/2 {
+		t.Errorf("a failure that peers do not show leaves weight %v of %v", w, before)
+	}
+	for range 100 {
+		b.outliers.record(fast, class, Error)
+	}
+	if w := b.weight(testStart, fast, class); w <= 0 {
+		t.Errorf("many failures leave weight %v, want a part for trials", w)
+	}
+}
+
+// An endpoint that fails at once has nothing in flight while its peers hold each call for a while.
+func TestPickEndpointAvoidsFastFailingEndpoint(t *testing.T) {
+	b, h := newWithEndpoints(t, testSettings(), 4)
+	now, failed, sent := testStart, 0, 0
+	for i := range 400 {
+		id := fmt.Sprint(i)
+		now += 20_000
+		sendRequest(b, h, now, id, idempotentClass)
+		for n := 0; n < 4 && len(h.sends) > sent; n++ {
+			latest := h.sends[len(h.sends)-1]
+			if sent = len(h.sends); latest.endpoint != "s0" {
+				break
+			}
+			failed++
+			b.HandleOutcome(now+1000, h, Outcome{ID: id, Attempt: n, Status: Error, Latency: 1000})
+		}
+		if i < 20 {
+			continue
+		}
+		id = fmt.Sprint(i - 20)
+		if req := b.requests[id]; req != nil {
+			b.HandleOutcome(now+2000, h, Outcome{ID: id, Attempt: len(req.attempts) - 1, Latency: 400_000, RequestDone: true})
+		}
+	}
+	if failed == 0 || failed > sent/10 {
+		t.Errorf("%d of %d attempts went to the failing endpoint of four, want some and at most a tenth", failed, sent)
+	}
+}
+
+// Without its part of the calls a rejecting endpoint would leave the others crowded.
+func TestPickEndpointKeepsRejectingEndpoint(t *testing.T) {
+	b, h := newWithEndpoints(t, testSettings(), 4)
+	now, firstAttempts := testStart, 0
+	for i := range 400 {
+		id := fmt.Sprint(i)
+		now += 20_000
+		sendRequest(b, h, now, id, idempotentClass)
+		if b.requests[id] == nil {
+			continue
+		}
+		status := OK
+		if latest := h.sends[len(h.sends)-1]; latest.endpoint == "s0" {
+			if firstAttempts++; firstAttempts%2 == 0 {
+				status = Rejected
+			}
+		}
+		for n := 0; b.requests[id] != nil && n < 4; n++ {
+			b.HandleOutcome(now+10_000, h, Outcome{ID: id, Attempt: n, Status: status, Latency: 10_000, RequestDone: status == OK})
+			status = OK
+		}
+	}
+	if firstAttempts < 70 {
+		t.Errorf("%d of 400 first attempts went to the endpoint that rejects every other, want 70 or more", firstAttempts)
+	}
+}
--- /dev/null
+++ b/balancer/retry_test.go
@@ -0,0 +1,216 @@
+package balancer
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+)
+
+// A client that is rejected comes again, at the latest when Retry-After is over: by then endpoints must still drop
+// repeats of an attempt that may have run.
+func TestHandleOutcomeRejectsOnlyWhileRepeatsAreDropped(t *testing.T) {
+	for _, c := range []struct {
+		class         int
+		status        Status
+		after         Microseconds
+		maxRetryAfter Microseconds
+		want          string
+	}{
+		{idempotentClass, Error, 900_000, 2_000_000, "reject r"},
+		{keyedByTierClass, Error, 1000, 0, "reject r"},
+		{keyedByTierClass, Error, 1000, 200_000, "reject r"},
+		{keyedByTierClass, Error, 1000, 2_000_000, "reject r"}, // half of the objective counts
+		{keyedByTierClass, Error, 100_000, 200_000, "fail r"},
+		{keyedByTierClass, Error, 100_000, 100_000, "reject r"},
+		{keyedByTierClass, Reset, 285_000, 0, "fail r"},
+		{keyedByTierClass, Rejected, 900_000, 2_000_000, "reject r"},
+		{keyedByCellClass, Error, 1000, 0, "fail r"},
+		{notIdempotentClass, Rejected, 1000, 0, "reject r"},
+	} {
+		name := fmt.Sprintf("class %d status %d after %d max %d", c.class, c.status, c.after, c.maxRetryAfter)
+		t.Run(name, func(t *testing.T) {
+			s := testSettings()
+			s.MaxAttempts, s.MaxRetryAfter = 1, c.maxRetryAfter
+			b, h := newWithEndpoints(t, s, 8)
+			sendRequest(b, h, testStart, "r", c.class)
+			b.HandleOutcome(testStart+c.after, h, Outcome{ID: "r", Status: c.status, Latency: c.after})
+			if h.last() != c.want {
+				t.Errorf("got %q, want %q", h.last(), c.want)
+			}
+		})
+	}
+}
+
+func TestHandleOutcomeRetriesWithinIdempotency(t *testing.T) {
+	const (
+		retryAnywhere = "retry"
+		retryInCell   = "retry in the same cell"
+		retryInZone   = "retry in the same zone"
+		fail          = "fail"
+	)
+	for _, c := range []struct {
+		class  int
+		status Status
+		after  Microseconds
+		want   string
+	}{
+		{idempotentClass, Error, 1000, retryAnywhere},
+		{idempotentClass, Reset, 1000, retryAnywhere},
+		{idempotentClass, Rejected, 1000, retryAnywhere},
+		{keyedByCellClass, Rejected, 1000, retryAnywhere},
+		{keyedByCellClass, Error, 1000, retryInCell},
+		{keyedByCellClass, Error, 300_000, fail}, // the dedup window is over
+		{notIdempotentClass, Rejected, 1000, retryAnywhere},
+		{notIdempotentClass, ConnectFailed, 1000, retryAnywhere},
+		{notIdempotentClass, Error, 1000, fail},
+		{notIdempotentClass, TimedOut, 1000, fail},
+		{notIdempotentClass, Reset, 1000, fail},
+		{keyedByTierClass, Error, 1000, retryAnywhere},
+		{keyedByTierClass, Error, 300_000, fail}, // the client would come again after the window
+		{keyedByZoneClass, Error, 1000, retryInZone},
+		{keyedByZoneClass, Error, 300_000, fail},
+	} {
+		t.Run(fmt.Sprintf("class %d status %d after %d", c.class, c.status, c.after), func(t *testing.T) {
+			b, h := newWithEndpoints(t, testSettings(), 8)
+			sendRequest(b, h, testStart, "r", c.class)
+			b.HandleOutcome(testStart+c.after, h, Outcome{ID: "r", Status: c.status, Latency: c.after})
+			if c.want == fail {
+				if h.last() != "fail r" {
+					t.Errorf("got %q, want a failure", h.last())
+				}
+				return
+			}
+			if len(h.sends) != 2 {
+				t.Fatalf("got %q, want a retry", h.last())
+			}
+			first, second := b.endpoints.byID[h.sends[0].endpoint], b.endpoints.byID[h.sends[1].endpoint]
+			if c.want == retryInCell && first.Cell != second.Cell || c.want == retryInZone && first.Zone != second.Zone {
+				t.Errorf("retried from %v at %v, want to %s", first.Endpoint, second.Endpoint, c.want)
+			}
+		})
+	}
+}
+
+func TestHandleOutcomeTakesRejectedAsMayHaveRunWhereSet(t *testing.T) {
+	s := testSettings()
+	s.RejectedMayRun = true
+	b, h := newWithEndpoints(t, s, 8)
+	sendRequest(b, h, testStart, "unsafe", notIdempotentClass)
+	b.HandleOutcome(testStart+1000, h, Outcome{ID: "unsafe", Status: Rejected, Latency: 1000})
+	if len(h.sends) != 1 || h.last() != "fail unsafe" {
+		t.Errorf("a rejected request that is not idempotent: %q, want a failure", h.actions)
+	}
+	sendRequest(b, h, testStart+2000, "keyed", keyedByCellClass)
+	b.HandleOutcome(testStart+3000, h, Outcome{ID: "keyed", Status: Rejected, Latency: 1000})
+	if len(h.sends) != 3 {
+		t.Fatalf("a rejected request with a key: %q, want a retry", h.actions)
+	}
+	first, second := b.endpoints.byID[h.sends[1].endpoint], b.endpoints.byID[h.sends[2].endpoint]
+	if first.Cell != second.Cell {
+		t.Errorf("a rejected request with a key left its cell: %q", h.actions)
+	}
+}
+
+// Without retries the times of requests must not be kept for ever.
+func TestRetryBudgetForgetsOldRequests(t *testing.T) {
+	b, h := newWithEndpoints(t, testSettings(), 4)
+	for i := range Microseconds(1000) {
+		now, id := testStart+i*second, fmt.Sprint(i)
+		sendRequest(b, h, now, id, idempotentClass)
+		succeed(b, h, now, id, 1000)
+	}
+	if most := int(defaultRetryBudgetWindow/second) + 1; len(b.retries.requests) > most {
+		t.Errorf("%d times of requests are kept, want at most %d", len(b.retries.requests), most)
+	}
+}
+
+// A long calm must not save up an allowance for the time when everything fails.
+func TestRetryBudgetHoldsInAnyWindow(t *testing.T) {
+	s := testSettings()
+	s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = 5*second, 3, 0.05
+	b, h := newWithEndpoints(t, s, 8)
+	var requests, retries timeline
+	for i := range Microseconds(2000) {
+		now, id := testStart+i*20_000, fmt.Sprint(i)
+		before := len(h.sends)
+		sendRequest(b, h, now, id, idempotentClass)
+		requests = append(requests, now)
+		status := OK
+		if i > 1000 {
+			status = Error
+		}
+		for n := 0; len(h.sends) > before+n; n++ {
+			if n > 0 {
+				retries = append(retries, now)
+			}
+			b.HandleOutcome(now, h, Outcome{ID: id, Attempt: n, Status: status, Latency: 1000, RequestDone: status == OK})
+		}
+		made, taken := retries.since(now-5*second), requests.since(now-5*second+1)
+		if made > 3+0.05*taken {
+			t.Fatalf("at %d: %v retries for %v requests", now-testStart, made, taken)
+		}
+	}
+	if len(retries) == 0 {
+		t.Error("no retry was made")
+	}
+}
+
+func TestRetryKeepsDefaultBudget(t *testing.T) {
+	b, h := newWithEndpoints(t, testSettings(), 4)
+	b.tierLimit.floor, b.tierLimit.max = 1e9, 1e9
+	const requests = 400
+	for i := range requests {
+		id := fmt.Sprint(i)
+		now := testStart + Microseconds(i)*1000
+		before := len(h.sends)
+		sendRequest(b, h, now, id, idempotentClass)
+		for n := 0; len(h.sends) > before+n; n++ {
+			b.HandleOutcome(now, h, Outcome{ID: id, Attempt: n, Status: Error, Latency: 1000})
+		}
+	}
+	sent := map[string]bool{}
+	for _, s := range h.sends {
+		sent[s.id] = true
+	}
+	most := defaultRetryBudgetMin + defaultRetryBudgetRatio*float64(requests)
+	if retries := len(h.sends) - len(sent); retries == 0 || float64(retries) > most {
+		t.Errorf("%d retries of %d requests, want some and at most %v", retries, len(sent), most)
+	}
+}
+
+// A client that heeds Retry-After must still be able to get a timely answer.
+func TestRejectKeepsRetryAfterWithinHalfTheObjective(t *testing.T) {
+	s := testSettings()
+	s.MaxRetryAfter = 2 * second
+	b, h := newWithEndpoints(t, s, 0)
+	for i := range 100 {
+		sendRequest(b, h, testStart, fmt.Sprint(i), idempotentClass)
+	}
+	most := s.Classes[idempotentClass].LatencyObjective / 2
+	if len(h.retryAfters) != 100 || slices.Min(h.retryAfters) < most/2 || slices.Max(h.retryAfters) > most {
+		t.Errorf("Retry-After %v, want 100 from %d to %d", h.retryAfters, most/2, most)
+	}
+}
+
+func TestReconfigureCountsEarlierRetriesInLongerBudget(t *testing.T) {
+	s := named(testSettings())
+	s.RetryBudgetWindow, s.RetryBudgetMin = second, 1
+	b, h := newWithEndpoints(t, s, 4)
+	retries := func(now Microseconds, id string) int {
+		sendRequest(b, h, now, id, idempotentClass)
+		before := len(h.sends)
+		b.HandleOutcome(now+1, h, Outcome{ID: id, Status: Error, Latency: 1})
+		return len(h.sends) - before
+	}
+	if retries(testStart, "a") != 1 || retries(testStart+2*second, "b") != 1 {
+		t.Fatal("no retry within the budget of one a second")
+	}
+	s.RetryBudgetWindow = 30 * second
+	mustReconfigure(t, b, s)
+	if retries(testStart+20*second, "c") != 0 {
+		t.Error("a second retry within 30 s")
+	}
+	if retries(testStart+40*second, "d") != 1 {
+		t.Error("no retry after 30 s")
+	}
+}
