--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -22,7 +22,7 @@
 
 	stallTimeout time.Duration // limit of each read; 0 for none
 	readDeadline time.Time     // limit of all reads while stallTimeout is set; zero for none
-	cut          atomic.Bool   // all reads and writes fail
+	aborted      atomic.Bool   // all reads and writes fail
 }
 
 func newConn(nc net.Conn, target Target) *conn {
@@ -33,7 +33,7 @@
 
 // abort ends all reads and writes, now and later.
 func (c *conn) abort() {
-	c.cut.Store(true)
+	c.aborted.Store(true)
 	_ = c.SetDeadline(time.Unix(1, 0))
 }
 
@@ -50,7 +50,7 @@
 			deadline = c.readDeadline
 		}
 		_ = c.SetReadDeadline(deadline)
-		if c.cut.Load() { // while the deadline was set
+		if c.aborted.Load() { // while the deadline was set
 			return 0, os.ErrDeadlineExceeded
 		}
 	}
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -23,7 +23,7 @@
 // response can be read. Before that an endpoint can only reject it.
 func (a *Attempt) upload(ctx context.Context, c *conn) (result Result, ok bool) {
 	a.Request.Stream.Resume()
-	w := &uploadWriter{ctx: ctx, attempt: a, conn: c, heard: make(chan bool, 1),
+	w := &uploadWriter{ctx: ctx, attempt: a, conn: c, responded: make(chan bool, 1),
 		notStarted: Result{Status: balancer.NotAttempted}}
 	_ = c.SetReadDeadline(time.Time{})
 	err := a.httpRequest(io.MultiReader(bytes.NewReader(a.Request.Body), a.Request.Stream)).Write(w)
@@ -44,7 +44,7 @@
 	if ctx.Err() != nil { // the deadline may have replaced that of abort
 		w.conn.abort()
 	}
-	<-w.heard
+	<-w.responded
 	if w.stopped.Load() { // the request is complete, but what was received was sent before and does not answer it
 		return Result{Status: balancer.Reset}, false
 	}
@@ -57,11 +57,11 @@
 	if ctx.Err() != nil { // the deadline may have replaced that of abort
 		w.conn.abort()
 	}
-	heard := <-w.heard
+	responded := <-w.responded
 	if !w.short && a.Request.Stream.ReceivedAll() { // the last byte may have been written
 		return Result{Status: balancer.Reset}
 	}
-	if !heard || ctx.Err() != nil {
+	if !responded || ctx.Err() != nil {
 		return Result{Status: balancer.ConnectFailed}
 	}
 	result, _, err := a.readResponse(ctx, w.conn)
@@ -77,7 +77,7 @@
 	attempt    *Attempt
 	conn       *conn
 	notStarted Result      // of the attempt if nothing was written
-	heard      chan bool   // receives once after something was written: whether the endpoint has sent something
+	responded  chan bool   // receives once after something was written: whether the endpoint has sent something
 	stopped    atomic.Bool // the endpoint has sent something, or closed, before all was written
 	short      bool        // a write did not take all
 }
@@ -95,7 +95,7 @@
 	if w.attempt.earlyResponse.Load() {
 		w.stopped.Store(true)
 	}
-	if w.conn.cut.Load() || w.stopped.Load() {
+	if w.conn.aborted.Load() || w.stopped.Load() {
 		err = os.ErrDeadlineExceeded
 	} else {
 		n, err = w.conn.Write(b)
@@ -105,7 +105,7 @@
 }
 
 // awaitResponse waits until the endpoint sends something or closes. If either comes early the upload stops. The upload
-// ends no earlier than it receives from heard.
+// ends no earlier than it receives from responded.
 func (w *uploadWriter) awaitResponse() {
 	_, err := w.conn.reader.Peek(1)
 	w.attempt.earlyResponse.Store(err == nil)
@@ -114,5 +114,5 @@
 		_ = w.conn.SetWriteDeadline(time.Unix(1, 0))
 		stream.Interrupt()
 	}
-	w.heard <- err == nil
+	w.responded <- err == nil
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -36,7 +36,7 @@
 	connectionClosed bool // nothing was sent, since the connection was closed or had something to read
 }
 
-// Observer is told of the progress of an attempt. Its methods are called on the goroutine of Attempt.Run.
+// Observer is notified of the progress of an attempt. Its methods are called on the goroutine of Attempt.Run.
 type Observer interface {
 	// UploadFinished is called when the last byte of a streamed request has been written. It returns the deadline for
 	// the response.
