--- /dev/null
+++ b/internal/upstream/forward_test.go
@@ -0,0 +1,114 @@
+package upstream
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"baylock/balancer"
+	"baylock/internal/backendtest"
+	"baylock/internal/message"
+)
+
+// responseObserver receives responses that are forwarded. It expects no streamed request.
+type responseObserver chan *message.ResponseStream
+
+func (o responseObserver) UploadFinished(time.Time) (deadline time.Time) {
+	panic("the request was not streamed")
+}
+
+func (o responseObserver) ResponseStarted(response *message.ResponseStream) { o <- response }
+
+// startLongResponse starts an attempt that is answered with more bytes than are buffered, and waits until they begin to
+// arrive.
+func startLongResponse(t *testing.T, p *Pool) (*testAttempt, *message.ResponseStream, <-chan Result) {
+	t.Helper()
+	a := newTestAttempt(t, p, "a", patience)
+	observer := make(responseObserver, 1)
+	a.Observer = observer
+	results := make(chan Result, 1)
+	go func() { results <- a.run() }()
+	return a, backendtest.Receive(t, "response", observer), results
+}
+
+func TestAttemptForwardsLongResponse(t *testing.T) {
+	const length = 300_000
+	text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Type: text/x\r\n\r\n", length) + strings.Repeat("x", length)
+	for _, c := range []struct {
+		name     string
+		delivery error // how delivery to the client went
+		idle     int   // connections that may be used again
+	}{
+		{"delivered", nil, 1},
+		{"client failed", errors.New("client gone"), 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			p := newTestPool(4, backendtest.Start(t, backendtest.Respond(text, true)).Address)
+			_, response, results := startLongResponse(t, p)
+			rest, err := io.ReadAll(response.Body)
+			if got := len(response.First) + len(rest); err != nil || got != length || response.Length != length || response.ContentType != "text/x" {
+				t.Errorf("got %d bytes of %d, %q, %v", got, response.Length, response.ContentType, err)
+			}
+			response.Done <- c.delivery
+			if result := backendtest.Receive(t, "result", results); result.Status != balancer.OK || result.Body != nil {
+				t.Errorf("got status %v with %d bytes", result.Status, len(result.Body))
+			}
+			if stats := p.Stats(); stats.Idle != c.idle || stats.Open != c.idle {
+				t.Errorf("%d connections idle, %d open, want %d", stats.Idle, stats.Open, c.idle)
+			}
+		})
+	}
+}
+
+func TestCancelledAttemptStopsForwarding(t *testing.T) {
+	p := newTestPool(4, backendtest.Start(t, func(w io.Writer, _ *http.Request, _ int) bool {
+		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n"+strings.Repeat("x", 100_000))
+		return true
+	}).Address)
+	a, response, results := startLongResponse(t, p)
+	a.cancel()
+	if result := backendtest.Receive(t, "result", results); result.Status != balancer.OK {
+		t.Errorf("got status %v", result.Status)
+	}
+	if _, err := io.ReadAll(response.Body); err == nil {
+		t.Error("the response can still be read")
+	}
+	if open := p.Stats().Open; open != 0 {
+		t.Errorf("%d connections open", open)
+	}
+}
+
+func TestAttemptReportsClientFault(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		body   io.Reader
+		length int64
+		want   int
+	}{
+		{"body breaks off", io.MultiReader(strings.NewReader("abc"), failingReader{}), 100_000, http.StatusBadRequest},
+		{"body over the limit", io.LimitReader(endless{}, message.MaxBody+1), -1, http.StatusRequestEntityTooLarge},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			p := newTestPool(4, backendtest.Start(t, backendtest.Respond(backendtest.OK, true)).Address)
+			a := newTestAttempt(t, p, "a", patience)
+			a.Request.Method = http.MethodPost
+			a.Request.Stream = newRequestStream(t, c.body, c.length)
+			result := a.run()
+			if result.ClientFault != c.want || !result.BodyConsumed || result.Status == balancer.OK {
+				t.Errorf("got %+v, want client fault %d", result, c.want)
+			}
+		})
+	}
+}
+
+type failingReader struct{}
+
+func (failingReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+
+type endless struct{}
+
+func (endless) Read(b []byte) (int, error) { return len(b), nil }
