--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -42,6 +42,19 @@
 	return b, nil
 }
 
+// UpdateEndpoints applies an update of the endpoint list.
+func (b *Balancer) UpdateEndpoints(_ Microseconds, host Host, kind UpdateKind, entries []Endpoint) {
+	if kind == FailedUpdate {
+		b.subscription.fail(host, b.random)
+		return
+	}
+	b.endpoints.update(kind, entries)
+	if b.settings.SubscribeRequired {
+		b.subscription.open(host)
+	}
+	b.subscription.resetBackoff()
+}
+
 // HandleRequest takes a request, and sends or rejects it at once. Only a request that must wait for its key's
 // order stays unsent, and no longer than it can still be answered in time. A request of an unknown class
 // fails; one whose ID is known already is ignored.
@@ -171,7 +184,8 @@
 	switch {
 	case o.RequestDone || req.done:
 		b.finish(now, host, req)
-	case req.outstanding > 0 || !o.BodyConsumed && b.retry(now, host, req):
+	case req.outstanding > 0:
+	case !o.BodyConsumed && b.retry(now, host, req):
 	case b.mayReject(now, req):
 		b.reject(now, host, req)
 	default:
@@ -180,7 +194,7 @@
 	}
 }
 
-// endAttempt counts an attempt out.
+// endAttempt takes an attempt out of what is outstanding and in flight.
 func (b *Balancer) endAttempt(req *request, a *attempt, status Status) {
 	neverSent := status == ConnectFailed || status == NotAttempted
 	a.outstanding = false
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -20,7 +20,7 @@
 	StartedAt Microseconds // when its process last started; 0: long ago
 }
 
-// UpdateKind tells what an update of the endpoint list holds.
+// UpdateKind is what an update of the endpoint list holds.
 type UpdateKind int
 
 // The kinds of update.
--- a/balancer/quota.go
+++ b/balancer/quota.go
@@ -20,7 +20,7 @@
 
 // tenantQuota is a rule of QPS grade: it limits the requests a second that are admitted for one tenant.
 type tenantQuota struct {
-	fraction float64       // of all tenants' quotas
+	fraction float64       // of what all tenants may send
 	admitted slidingWindow // requests
 	arrivals decayingCount // requests
 }
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -34,10 +34,7 @@
 // configure puts valid settings in force.
 func (b *Balancer) configure(s Settings) {
 	s.Classes, s.Tenants = slices.Clone(s.Classes), slices.Clone(s.Tenants)
-	if s.RetryBudgetWindow == 0 {
-		s.RetryBudgetWindow = defaultRetryBudgetWindow
-		s.RetryBudgetMin, s.RetryBudgetRatio = defaultRetryBudgetMin, defaultRetryBudgetRatio
-	}
+	s.setDefaultRetryBudget()
 	before := b.settings
 	b.settings = &s
 	b.endpoints.replicaIndex = s.ReplicaIndex
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -12,6 +12,14 @@
 	maxRetryAfterPart = 0.5         // of the latency objective: the longest Retry-After
 )
 
+// setDefaultRetryBudget sets the default budget where the settings state none.
+func (s *Settings) setDefaultRetryBudget() {
+	if s.RetryBudgetWindow == 0 {
+		s.RetryBudgetWindow = defaultRetryBudgetWindow
+		s.RetryBudgetMin, s.RetryBudgetRatio = defaultRetryBudgetMin, defaultRetryBudgetRatio
+	}
+}
+
 // retryBudget counts requests and retries, for the budget that Settings state.
 type retryBudget struct {
 	requests timeline
@@ -33,8 +41,8 @@
 	return r.retries.since(from)+1 > s.RetryBudgetMin+s.RetryBudgetRatio*r.requests.since(from+1)
 }
 
-// retry makes a further attempt where time, limits, idempotency and the budget allow one, and tells whether
-// it did.
+// retry makes a further attempt where time, limits, idempotency and the budget allow one. It returns
+// false if it made none.
 func (b *Balancer) retry(now Microseconds, host Host, req *request) bool {
 	u := b.random.Float64()
 	if len(req.attempts) >= b.settings.MaxAttempts || !req.canFinishInTime(now, b.settings) ||
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Idempotency reports whether requests of a class may run more than once.
+// Idempotency is how often requests of a class may run.
 type Idempotency int
 
 // The kinds of idempotency.
@@ -26,17 +26,17 @@
 	LatencyObjective Microseconds // an answer within this has its full priority; positive
 	Deadline         Microseconds // the longest that a client waits, all attempts included; positive
 	PriorityWeight   float64      // priority of one request
-	LateFraction     float64      // part of the priority that an answer between objective and deadline has
+	LateFraction     float64      // part of the priority that an answer has between objective and deadline
 	Idempotency      Idempotency
 	DedupScope       DedupScope   // with IdempotentWithKey
-	DedupWindow      Microseconds // with IdempotentWithKey: how long repeats are dropped, from the first send that may have run
-	OrderedByKey     bool         // requests with one key run one at a time, in the order in which this proxy took them
+	DedupWindow      Microseconds // with IdempotentWithKey: how long repeats are dropped, from the first send on
+	OrderedByKey     bool         // requests with one key run one at a time, in order of arrival
 }
 
 // Tenant describes one origin of requests.
 type Tenant struct {
 	Name          string  // identifies the tenant across Reconfigure; its index does if empty
-	QuotaFraction float64 // its part of all tenants' quotas, from 0 to 1
+	QuotaFraction float64 // its part of what all tenants may send
 	RateQuota     float64 // requests a second within its quota, over all replicas of the proxy
 }
 
@@ -57,7 +57,7 @@
 	RejectedMayRun     bool         // Rejected is no proof that an attempt never ran
 
 	// In any RetryBudgetWindow, retries number at most RetryBudgetMin plus RetryBudgetRatio times the
-	// requests taken in it. A RetryBudgetWindow of 0 selects the default budget.
+	// requests that arrive in it. A RetryBudgetWindow of 0 selects the default budget.
 	RetryBudgetWindow Microseconds
 	RetryBudgetMin    float64
 	RetryBudgetRatio  float64
--- a/balancer/timer_token.go
+++ b/balancer/timer_token.go
@@ -2,13 +2,13 @@
 
 import "strings"
 
-// timerKind tells what a timer is for.
+// timerKind is what a timer is for.
 type timerKind string
 
 // The kinds of timers.
 const (
 	subscribeTimer timerKind = "subscribe"  // time to try the subscription again
-	expiryTimer    timerKind = "expire"     // a request that waits in its key queue can no longer be answered in time
+	expiryTimer    timerKind = "expire"     // a request that waits in its key queue has no time left
 	cooldownTimer  timerKind = "resume-key" // a key queue's cooldown has ended
 )
 
