--- a/internal/emulator/hollow/loop.go
+++ b/internal/emulator/hollow/loop.go
@@ -206,5 +206,5 @@
 }
 
 func (l *loop) applyList(kind balancer.UpdateKind, list *discovery.List) {
-	l.balancer.UpdateEndpoints(l.clock.Now(), l, kind, l.zones.Servers(list.Endpoints))
+	l.balancer.UpdateEndpoints(l.clock.Now(), l, kind, l.zones.Endpoints(list.Endpoints))
 }
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -11,13 +11,14 @@
 	"time"
 
 	"baylock/balancer"
+	"baylock/internal/config"
 	"baylock/internal/discovery"
 	"baylock/internal/settings"
 	"baylock/internal/upstream"
 )
 
 // changed is the configuration of a running proxy with pairs of texts of the test settings replaced.
-func changed(t *testing.T, p *running, version string, replace ...string) Config {
+func changed(t *testing.T, p *running, version string, replace ...string) config.Config {
 	t.Helper()
 	for i := 0; i < len(replace); i += 2 {
 		if !strings.Contains(siteText, replace[i]) {
@@ -33,7 +34,7 @@
 	return cfg
 }
 
-func (p *running) mustReload(t *testing.T, cfg Config) {
+func (p *running) mustReload(t *testing.T, cfg config.Config) {
 	t.Helper()
 	if err := p.Reload(cfg); err != nil {
 		t.Fatal(err)
@@ -58,7 +59,7 @@
 	return resp.StatusCode
 }
 
-func TestAReloadPutsTheSettingsInForce(t *testing.T) {
+func TestReloadAppliesSettings(t *testing.T) {
 	left := make(chan int, 10)
 	p, _ := serving(t, func(w io.Writer, r *http.Request, _ int) bool {
 		ms, _ := strconv.Atoi(r.Header.Get("Request-Timeout-Ms"))
@@ -68,7 +69,7 @@
 	})
 	long := strings.Replace(shortPost("p"), "Timeout-Ms: 4000", "Timeout-Ms: 60000", 1)
 	if got := p.status(t, scan("1")); got != 400 {
-		t.Errorf("a class that is not known yet: %d", got)
+		t.Errorf("an unknown class: %d", got)
 	}
 	if got := p.status(t, long); got != 200 {
 		t.Errorf("before: %d", got)
@@ -85,7 +86,7 @@
 	}
 	wait(t, "request", left)
 	if got := p.status(t, look("3", 4000)); got != 400 {
-		t.Errorf("a class that is gone: %d", got)
+		t.Errorf("a removed class: %d", got)
 	}
 	if got := p.status(t, long); got != 200 {
 		t.Errorf("after: %d", got)
@@ -99,13 +100,13 @@
 	}
 }
 
-// Settings come and go under load: every request is served, and no connection ends on either side.
-func TestReloadsUnderLoadLoseNothing(t *testing.T) {
+// Settings change back and forth under load: every request is served, and no connection is closed on either side.
+func TestReloadUnderLoadLosesNoRequest(t *testing.T) {
 	const clients, reloads = 3, 60 // more at once than a class's count has learned to bear would be refused
 	b := startBackend(t, says(served, true))
 	// Each request may need a connection of its own, as one rests after its use.
 	p := startProxy(t, startDiscovery(t).addr, 4000, listText(1, true, listed("a", b.addr, discovery.Serving)))
-	configs := []Config{
+	configs := []config.Config{
 		changed(t, p, "b", lookProfile, scanProfile+lookProfile, `"siblings":1`, `"siblings":3`,
 			`"tenants":[`, `"tenants":[{"name":"other","portion":0.1,"quota_per_s":5},`,
 			`"failure_domains":["a"]`, `"failure_domains":["b","a"]`, `"my_zone":0`, `"my_zone":1`),
@@ -159,55 +160,57 @@
 	}
 }
 
-// What is wrong anywhere in a configuration leaves all of the old one in force.
-func TestARefusedReloadChangesNothing(t *testing.T) {
+// A configuration that is invalid anywhere leaves all of the old one in force.
+func TestRejectedReloadChangesNothing(t *testing.T) {
 	p, _, _ := operated(t)
 	p.mustReload(t, changed(t, p, "first"))
 	before, most := p.loop.inForce.Load(), p.most()
-	for want, spoil := range map[string]func(*Config){
-		"name":              func(c *Config) { c.Name = "other" },
-		"listen":            func(c *Config) { c.Listen = "127.0.0.1:1" },
-		"console":           func(c *Config) { c.Console = "" },
-		"discovery":         func(c *Config) { c.Discovery = "nowhere" },
-		"too few":           func(c *Config) { c.Sockets = 40 },
-		"dial_timeout":      func(c *Config) { c.Site.DialTimeout = 0 },
-		"profiles[2].name":  func(c *Config) { c.Site.Classes[2] = c.Site.Classes[1] },
-		"Tier":              func(c *Config) { c.Site.Balancer.Tier = 1 },
-		"SubscribeRequired": func(c *Config) { c.Site.Balancer.SubscribeRequired, c.Site.Balancer.MaxPollInterval = true, 1 },
-		"Zone":              func(c *Config) { c.Site.Balancer.Zone = 5 },
-		"Deadline":          func(c *Config) { c.Site.Balancer.Classes[0].Deadline = 0 },
-		"Tenants":           func(c *Config) { c.Site.Balancer.Tenants[0].RateQuota = -1 },
+	for want, spoil := range map[string]func(*config.Config){
+		"name":              func(c *config.Config) { c.Name = "other" },
+		"listen":            func(c *config.Config) { c.Listen = "127.0.0.1:1" },
+		"console":           func(c *config.Config) { c.Console = "" },
+		"discovery":         func(c *config.Config) { c.Discovery = "nowhere" },
+		"too few":           func(c *config.Config) { c.Limits.Sockets = 40 },
+		"dial_timeout":      func(c *config.Config) { c.Site.DialTimeout = 0 },
+		"profiles[2].name":  func(c *config.Config) { c.Site.Classes[2] = c.Site.Classes[1] },
+		"Tier":              func(c *config.Config) { c.Site.Balancer.Tier = 1 },
+		"SubscribeRequired": func(c *config.Config) { c.Site.Balancer.SubscribeRequired, c.Site.Balancer.MaxPollInterval = true, 1 },
+		"Zone":              func(c *config.Config) { c.Site.Balancer.Zone = 5 },
+		"Deadline":          func(c *config.Config) { c.Site.Balancer.Classes[0].Deadline = 0 },
+		"Tenants":           func(c *config.Config) { c.Site.Balancer.Tenants[0].RateQuota = -1 },
 	} {
-		cfg := changed(t, p, "bad", lookProfile, scanProfile+lookProfile)
-		cfg.Sockets = 800
-		spoil(&cfg)
-		if err := p.Reload(cfg); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: got %v", want, err)
-		}
-		if p.loop.inForce.Load() != before || p.most() != most {
-			t.Errorf("%s: it was taken in part", want)
-		}
+		t.Run(want, func(t *testing.T) {
+			cfg := changed(t, p, "bad", lookProfile, scanProfile+lookProfile)
+			cfg.Limits.Sockets = 800
+			spoil(&cfg)
+			if err := p.Reload(cfg); err == nil || !strings.Contains(err.Error(), want) {
+				t.Errorf("got %v", err)
+			}
+			if p.loop.inForce.Load() != before || p.most() != most {
+				t.Error("it was applied in part")
+			}
+		})
 	}
 	if got := p.status(t, scan("1")); got != 400 {
-		t.Errorf("a class of refused settings: %d", got)
+		t.Errorf("a class of rejected settings: %d", got)
 	}
 	if got := p.status(t, look("2", 4000)); got != 200 {
 		t.Errorf("a class of the old settings: %d", got)
 	}
 }
 
-// Whether a request may be sent again was decided when it came.
-func TestAnAttemptKeepsItsSettingsOverAReload(t *testing.T) {
+// Whether a request may be retried was decided when it arrived.
+func TestReloadKeepsIdempotencyOfOpenRequests(t *testing.T) {
 	for name, c := range map[string]struct {
 		request     string
 		old, reload string
 		want        int
 		sends       int32
 	}{
-		"an unsafe one is not sent again": {shortPost("1"), postProfile,
+		"not idempotent": {shortPost("1"), postProfile,
 			strings.Replace(postProfile, `"at_most_once"`, `"deduplicated","dedup_scope":"all","dedup_window_us":8000000`, 1), 502, 1},
-		"a keyed one has its window": {rate("1"), `"dedup_window_us":9000000`, `"dedup_window_us":1`, 200, 2},
-		"so it has with its class gone": {rate("1"), `{"dedup_scope":"cell","dedup_window_us":9000000,"give_up_us":8000000,"name":"rate",` +
+		"with key, window changed": {rate("1"), `"dedup_window_us":9000000`, `"dedup_window_us":1`, 200, 2},
+		"with key, class removed": {rate("1"), `{"dedup_scope":"cell","dedup_window_us":9000000,"give_up_us":8000000,"name":"rate",` +
 			`"objective_us":1000000,"late_share":0.5,"repeat":"deduplicated","worth":1},`, "", 200, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -233,19 +236,19 @@
 	}
 }
 
-// A request that was read under the old settings, and reaches the loop after the new ones, is taken as what it is, or
-// refused where its class is gone or repeats otherwise. Nothing of it is sent then.
-func TestARequestThatCrossesAReload(t *testing.T) {
+// A request that was read under the old settings, and reaches the loop after the new ones, is taken under the numbers that
+// its class and tenant have now, or rejected unsent where its class is gone or has another idempotency.
+func TestReloadRenumbersRequestsNotYetTaken(t *testing.T) {
 	for name, c := range map[string]struct {
 		old, reload string
 		want        int
 	}{
-		"its class has moved":    {lookProfile, scanProfile + lookProfile, 200},
-		"its tenant has moved":   {`"tenants":[`, `"tenants":[{"name":"other","portion":0,"quota_per_s":0},`, 200},
-		"its tenant has gone":    {`"acme"`, `"other"`, 200},
-		"its class has gone":     {lookProfile, scanProfile, 503},
-		"its class is unsafe":    {lookProfile, strings.Replace(lookProfile, "idempotent", "at_most_once", 1), 503},
-		"nothing of it has gone": {`"siblings":1`, `"siblings":2`, 200},
+		"class moved":          {lookProfile, scanProfile + lookProfile, 200},
+		"tenant moved":         {`"tenants":[`, `"tenants":[{"name":"other","portion":0,"quota_per_s":0},`, 200},
+		"tenant removed":       {`"acme"`, `"other"`, 200},
+		"class removed":        {lookProfile, scanProfile, 503},
+		"class not idempotent": {lookProfile, strings.Replace(lookProfile, "idempotent", "at_most_once", 1), 503},
+		"class unchanged":      {`"siblings":1`, `"siblings":2`, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, b := serving(t, says(served, true))
@@ -274,18 +277,18 @@
 			if sent := b.requests.Load(); resp.StatusCode != c.want || (sent > 0) != (c.want == 200) {
 				t.Errorf("got %s after %d sends", resp.Status, sent)
 			}
-			site := p.loop.inForce.Load().site
+			site := p.loop.inForce.Load().Site
 			if r, ok := <-ids; ok && site.Classes[r.Class] != "look" {
-				t.Errorf("it was taken for class %q", site.Classes[r.Class])
-			} else if ok && r.Tenant != noTenant && site.Tenants[r.Tenant] != "acme" {
-				t.Errorf("it was taken for tenant %q", site.Tenants[r.Tenant])
+				t.Errorf("taken as class %q", site.Classes[r.Class])
+			} else if ok && r.Tenant != config.NoTenant && site.Tenants[r.Tenant] != "acme" {
+				t.Errorf("taken as tenant %q", site.Tenants[r.Tenant])
 			}
 		})
 	}
 }
 
 // Operators see which settings are in force, in one line.
-func TestReadyShowsTheSettingsInForce(t *testing.T) {
+func TestReadyReportsSettingsInForce(t *testing.T) {
 	p, _, _ := operated(t)
 	ask := func() string {
 		t.Helper()
@@ -298,7 +301,7 @@
 		return body
 	}
 	p.mustReload(t, changed(t, p, "0123456789ab"))
-	at := p.loop.inForce.Load().taken.UTC().Format("2006-01-02T15:04:05.000Z")
+	at := p.loop.inForce.Load().TakenAt.UTC().Format("2006-01-02T15:04:05.000Z")
 	if got := ask(); got != "ok settings=0123456789ab taken="+at+"\n" {
 		t.Errorf("got %q", got)
 	}
@@ -313,75 +316,43 @@
 	}
 }
 
-// Requests that came under longer deadlines keep their time when SIGTERM comes, also over two reloads.
-func TestTheEndWaitsForTheLongestDeadlineInFlight(t *testing.T) {
+// Requests that arrived under longer deadlines keep them at SIGTERM, also after two reloads.
+func TestSnapshotKeepsLongestDeadlineOfOpenRequests(t *testing.T) {
 	p, _ := serving(t, says(served, true))
 	const before, after = 8 * time.Second, 90 * time.Millisecond
-	first := p.loop.inForce.Load().taken
+	first := p.loop.inForce.Load().TakenAt
 	short := []string{"8000000", "90000", "4000000", "80000", "1000000,", "80000,"}
 	p.mustReload(t, changed(t, p, "", short...))
-	second := p.loop.inForce.Load().taken
+	second := p.loop.inForce.Load().TakenAt
 	p.mustReload(t, changed(t, p, "again", short...))
 	in := p.loop.inForce.Load()
 	for _, c := range []struct {
 		at   time.Time
 		want time.Duration
 	}{
-		{in.taken, before},
+		{in.TakenAt, before},
 		{second.Add(before - time.Nanosecond), before}, // the second reload makes it no later
 		{second.Add(before), after},
 	} {
-		if got := in.longestAt(c.at); got != c.want {
+		if got := in.LongestDeadline(c.at); got != c.want {
 			t.Errorf("%v after the start: %v, want %v", c.at.Sub(first), got, c.want)
 		}
 	}
 }
 
-// Descriptors and memory are shared out anew at once.
-func TestAReloadTakesTheLimits(t *testing.T) {
+// Descriptors and memory are divided again at once.
+func TestReloadAppliesLimits(t *testing.T) {
 	p, _ := serving(t, says(served, true))
 	cfg := changed(t, p, "")
-	cfg.Sockets, cfg.MemoryMB = 500, 100
+	cfg.Limits.Sockets, cfg.Limits.MemoryMB = 500, 100
 	p.mustReload(t, cfg)
-	forClients, forBackends := divide(500)
+	forClients, forBackends := cfg.Limits.Connections()
 	pool := p.loop.pool.Stats()
 	if p.most() != forClients || pool.MaxOpen != forBackends || p.front.budget.Limit() != 100<<20/8 {
 		t.Errorf("%d for clients, %d for backends, %d bytes for bodies", p.most(), pool.MaxOpen, p.front.budget.Limit())
 	}
 	t.Cleanup(func() { // the runtime's limit holds for all tests
-		cfg.MemoryMB = 0
+		cfg.Limits.MemoryMB = 0
 		p.mustReload(t, cfg)
 	})
 }
-
-// Zones keep their numbers whatever the order in which settings name them, and servers of a zone that is named only later
-// are at home there.
-func TestZonesKeepTheirNumbers(t *testing.T) {
-	zones := discovery.NewZones([]string{"a", "b"})
-	site, err := settings.Decode([]byte(siteText))
-	if err != nil {
-		t.Fatal(err)
-	}
-	number := func(mine int, names ...string) int {
-		t.Helper()
-		site.Zones, site.Balancer.Zones, site.Balancer.Zone = names, len(names), mine
-		s, err := newSnapshot(Config{Sockets: 200, Site: site}, zones)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if _, err := balancer.New(s.logic, 1); err != nil {
-			t.Error(err)
-		}
-		return s.logic.Zone
-	}
-	if a, b := number(0, "a", "b"), number(1, "a", "b"); a != 0 || b != 1 {
-		t.Errorf("a is %d, b is %d", a, b)
-	}
-	if got := number(0, "b", "a"); got != 1 {
-		t.Errorf("b is now %d", got)
-	}
-	server := zones.Servers([]discovery.Endpoint{{Name: "s", Zone: "c"}})[0]
-	if got := number(2, "b", "a", "c"); got != server.Zone {
-		t.Errorf("c is %d, its servers are in %d", got, server.Zone)
-	}
-}
