--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -16,9 +16,9 @@
 	retries      retryBudget
 	outliers     outlierDetector
 	zones        zonePreference
-	sends        slidingWindow // attempts
+	subset       subsetSizer
 	picker       picker
-	reportedAt   Microseconds // when the last log line was written; 0: never
+	reporter     reporter
 }
 
 // New returns a Balancer for the settings. All its random draws come from the seed. It returns a *FieldError
@@ -42,7 +42,8 @@
 	return b, nil
 }
 
-// UpdateEndpoints applies an update of the endpoint list.
+// UpdateEndpoints applies an update of the endpoint list. An endpoint that is draining or removed gets
+// nothing from now on, and one whose StartedAt has changed is learned anew.
 func (b *Balancer) UpdateEndpoints(_ Microseconds, host Host, kind UpdateKind, entries []Endpoint) {
 	if kind == FailedUpdate {
 		b.subscription.fail(host, b.random)
@@ -55,9 +56,9 @@
 	b.subscription.resetBackoff()
 }
 
-// HandleRequest takes a request, and sends or rejects it at once. Only a request that must wait for its key's
-// order stays unsent, and no longer than it can still be answered in time. A request of an unknown class
-// fails; one whose ID is known already is ignored.
+// HandleRequest handles the arrival of a request: it sends or rejects it at once. Only a request that must
+// wait for its key's order stays unsent, and no longer than it can still be answered in time. A request of an
+// unknown class fails; one whose ID is known already is ignored.
 func (b *Balancer) HandleRequest(now Microseconds, host Host, r Request) {
 	if b.requests[r.ID] != nil {
 		return
@@ -117,7 +118,7 @@
 	ep.inFlight++
 	req.attempts = append(req.attempts, a)
 	req.outstanding++
-	b.sends.add(now)
+	b.subset.recordAttempt(now)
 	if !req.Streaming {
 		b.countInFlight(req, a)
 	}
@@ -135,8 +136,8 @@
 	a.inFlight = true
 }
 
-// RequestUploaded takes the end of a streamed request's upload, and when its client abandons it. Latency
-// counts from here: what the client took to write the body shows nothing of endpoints.
+// RequestUploaded handles the end of a streamed request's upload; deadline is when its client abandons it.
+// Latency counts from here: the time that the client took to write the body shows nothing of endpoints.
 func (b *Balancer) RequestUploaded(now Microseconds, id string, deadline Microseconds) {
 	req := b.requests[id]
 	if req == nil || !req.Streaming || len(req.attempts) == 0 {
@@ -149,21 +150,22 @@
 	}
 }
 
-// ResponseStarted takes the start of a streamed response: the client gets that attempt's and no other.
+// ResponseStarted handles the start of a streamed response. The client gets that attempt's response, so the
+// request is not retried.
 func (b *Balancer) ResponseStarted(_ Microseconds, id string) {
 	if req := b.requests[id]; req != nil {
 		req.done = true
 	}
 }
 
-// CancelRequest takes the end of a client's wait for a request.
+// CancelRequest handles a client that no longer waits for its request.
 func (b *Balancer) CancelRequest(now Microseconds, host Host, id string) {
 	if req := b.requests[id]; req != nil {
 		b.finish(now, host, req)
 	}
 }
 
-// HandleOutcome takes the end of an attempt. Where the client still waits, the request is retried, rejected
+// HandleOutcome handles the end of an attempt. Where the client still waits, the request is retried, rejected
 // or failed at once. Outcomes of attempts that are not outstanding are ignored.
 func (b *Balancer) HandleOutcome(now Microseconds, host Host, o Outcome) {
 	req := b.requests[o.ID]
@@ -231,7 +233,7 @@
 	}
 }
 
-// TimerFired takes a timer that Host.SetTimer was asked for. Timers that are no longer of use are ignored.
+// TimerFired handles a timer that was set by Host.SetTimer. Timers that are no longer needed are ignored.
 func (b *Balancer) TimerFired(now Microseconds, host Host, token string) {
 	switch t := parseTimerToken(token); t.kind {
 	case subscribeTimer:
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -48,7 +48,7 @@
 func (b *Balancer) gatherCandidates(now Microseconds, req *request) (weight, weightedInFlight float64) {
 	p := &b.picker
 	p.candidates = p.candidates[:0]
-	missing := b.subsetSize(now)
+	missing := b.subset.size(now)
 	for _, ep := range b.endpoints.ready {
 		if missing <= 0 && weight > 0 {
 			break
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -53,8 +53,16 @@
 	})
 }
 
-// subsetSize is how many warm and healthy endpoints this replica's calls are spread over.
-func (b *Balancer) subsetSize(now Microseconds) float64 {
-	rate := b.sends.sum(now, windowLength) / float64(windowLength/second)
+// subsetSizer sizes this replica's subset by its attempts a second.
+type subsetSizer struct {
+	attempts slidingWindow
+}
+
+// recordAttempt counts an attempt.
+func (s *subsetSizer) recordAttempt(now Microseconds) { s.attempts.add(now) }
+
+// size is how many warm and healthy endpoints this replica's calls are spread over.
+func (s *subsetSizer) size(now Microseconds) float64 {
+	rate := s.attempts.sum(now, windowLength) / float64(windowLength/second)
 	return max(minSubset, subsetRateFactor*math.Sqrt(rate))
 }
