--- a/balancer/detach.go
+++ b/balancer/detach.go
@@ -1,7 +1,7 @@
 package balancer
 
-// Detach has an endpoint get nothing new until Attach, for operators. It stands beside the endpoint list: no
-// update lifts it, and the list need not name the endpoint.
+// Detach takes an endpoint out of use until Attach, for operators. What is in flight goes on. Updates of the
+// endpoint list do not end it, and the list need not name the endpoint.
 func (b *Balancer) Detach(id string) {
 	b.endpoints.detached[id] = true
 	b.endpoints.refresh()
