--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -16,9 +16,9 @@
 	retries      retryBudget
 	outliers     outlierDetector
 	zones        zonePreference
-	sends        slidingWindow // attempts
+	subset       subsetSizer
 	picker       picker
-	reportedAt   Microseconds // when the last log line was written; 0: never
+	reporter     reporter
 }
 
 // New returns a Balancer for the settings. All its random draws come from the seed. It returns a *FieldError
@@ -42,9 +42,23 @@
 	return b, nil
 }
 
-// HandleRequest takes a request, and sends or rejects it at once. Only a request that must wait for its key's
-// order is kept unsent, and no longer than it can still be answered in time. A request of an unknown class
-// fails; one whose ID is known already is ignored.
+// UpdateEndpoints applies an update of the endpoint list. An endpoint that is draining or removed gets
+// nothing from now on, and one whose StartedAt has changed is learned anew.
+func (b *Balancer) UpdateEndpoints(_ Microseconds, host Host, kind UpdateKind, entries []Endpoint) {
+	if kind == FailedUpdate {
+		b.subscription.fail(host, b.random)
+		return
+	}
+	b.endpoints.update(kind, entries)
+	if b.settings.SubscribeRequired {
+		b.subscription.open(host)
+	}
+	b.subscription.resetBackoff()
+}
+
+// HandleRequest handles the arrival of a request: it sends or rejects it at once. Only a request that must
+// wait for its key's order stays unsent, and no longer than it can still be answered in time. A request of an
+// unknown class fails; one whose ID is known already is ignored.
 func (b *Balancer) HandleRequest(now Microseconds, host Host, r Request) {
 	if b.requests[r.ID] != nil {
 		return
@@ -53,14 +67,14 @@
 		host.Fail(r.ID)
 		return
 	}
-	b.markSlowAttempts(now)
+	b.countSlowAttempts(now)
 	b.retries.recordRequest(now, b.settings)
 	req := &request{
-		Request:   r,
-		class:     &b.settings.Classes[r.Class],
-		state:     b.classes[r.Class],
-		quota:     b.quotas.recordArrival(now, r.Tenant),
-		arrivedAt: now,
+		Request:    r,
+		class:      &b.settings.Classes[r.Class],
+		classState: b.classes[r.Class],
+		quota:      b.quotas.recordArrival(now, r.Tenant),
+		arrivedAt:  now,
 	}
 	b.requests[r.ID] = req
 	if r.Key != "" && req.class.OrderedByKey {
@@ -104,7 +118,7 @@
 	ep.inFlight++
 	req.attempts = append(req.attempts, a)
 	req.outstanding++
-	b.sends.add(now)
+	b.subset.recordAttempt(now)
 	if !req.Streaming {
 		b.countInFlight(req, a)
 	}
@@ -115,15 +129,15 @@
 // countInFlight counts an attempt as a call in flight: its endpoint has all of it and may begin.
 func (b *Balancer) countInFlight(req *request, a *attempt) {
 	if b.settings.Tier == 0 {
-		req.state.unmarked = append(req.state.unmarked, a)
+		req.classState.notYetSlow = append(req.classState.notYetSlow, a)
 	}
 	b.tierLimit.acquire()
-	req.state.limit.acquire()
+	req.classState.limit.acquire()
 	a.inFlight = true
 }
 
-// RequestUploaded tells that the last byte of a streamed request has been sent, and when its client abandons
-// it. Its time counts from here: what the client took to write it shows nothing of endpoints.
+// RequestUploaded handles the end of a streamed request's upload; deadline is when its client abandons it.
+// Latency counts from here: the time that the client took to write the body shows nothing of endpoints.
 func (b *Balancer) RequestUploaded(now Microseconds, id string, deadline Microseconds) {
 	req := b.requests[id]
 	if req == nil || !req.Streaming || len(req.attempts) == 0 {
@@ -136,21 +150,22 @@
 	}
 }
 
-// ResponseStarted tells that a streamed response has begun: the client gets that attempt's and no other.
+// ResponseStarted handles the start of a streamed response. The client gets that attempt's response, so the
+// request is not retried.
 func (b *Balancer) ResponseStarted(_ Microseconds, id string) {
 	if req := b.requests[id]; req != nil {
 		req.done = true
 	}
 }
 
-// CancelRequest tells that the client waits for a request no longer.
+// CancelRequest handles a client that no longer waits for its request.
 func (b *Balancer) CancelRequest(now Microseconds, host Host, id string) {
 	if req := b.requests[id]; req != nil {
 		b.finish(now, host, req)
 	}
 }
 
-// HandleOutcome takes the end of an attempt. Where the client still waits, the request is retried, rejected
+// HandleOutcome handles the end of an attempt. Where the client still waits, the request is retried, rejected
 // or failed at once. Outcomes of attempts that are not outstanding are ignored.
 func (b *Balancer) HandleOutcome(now Microseconds, host Host, o Outcome) {
 	req := b.requests[o.ID]
@@ -161,7 +176,7 @@
 	if a == nil {
 		return
 	}
-	b.markSlowAttempts(now)
+	b.countSlowAttempts(now)
 	b.endAttempt(req, a, o.Status)
 	b.learn(now, req, a, o)
 	b.report(now, host)
@@ -171,7 +186,8 @@
 	switch {
 	case o.RequestDone || req.done:
 		b.finish(now, host, req)
-	case req.outstanding > 0 || !o.BodyConsumed && b.retry(now, host, req):
+	case req.outstanding > 0:
+	case !o.BodyConsumed && b.retry(now, host, req):
 	case b.mayReject(now, req):
 		b.reject(now, host, req)
 	default:
@@ -180,7 +196,7 @@
 	}
 }
 
-// endAttempt counts an attempt out.
+// endAttempt takes an attempt out of what is outstanding and in flight.
 func (b *Balancer) endAttempt(req *request, a *attempt, status Status) {
 	neverSent := status == ConnectFailed || status == NotAttempted
 	a.outstanding = false
@@ -192,7 +208,7 @@
 	req.outstanding--
 	if a.inFlight {
 		b.tierLimit.release()
-		req.state.limit.release()
+		req.classState.limit.release()
 	}
 }
 
@@ -217,7 +233,7 @@
 	}
 }
 
-// TimerFired takes a timer that Host.SetTimer was asked for. Timers that are no longer of use are ignored.
+// TimerFired handles a timer that was set by Host.SetTimer. Timers that are no longer needed are ignored.
 func (b *Balancer) TimerFired(now Microseconds, host Host, token string) {
 	switch t := parseTimerToken(token); t.kind {
 	case subscribeTimer:
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -33,7 +33,7 @@
 	if weight == 0 {
 		return nil
 	}
-	totals := b.picker.discountInFlight(req.state, weightedInFlight/weight)
+	totals := b.picker.discountInFlight(req.classState, weightedInFlight/weight)
 	overload := max(1, slowStartOverloadMargin*b.settings.SlowStartOverload)
 	if x := b.random.Float64() * max(totals.all, (totals.all+totals.deficit)/overload); x < totals.all {
 		return b.picker.at(x)
@@ -48,15 +48,15 @@
 func (b *Balancer) gatherCandidates(now Microseconds, req *request) (weight, weightedInFlight float64) {
 	p := &b.picker
 	p.candidates = p.candidates[:0]
-	missing := b.subsetSize(now)
+	missing := b.subset.size(now)
 	for _, ep := range b.endpoints.ready {
 		if missing <= 0 && weight > 0 {
 			break
 		}
 		c := candidate{endpoint: ep, slowStartFactor: b.settings.slowStartFactor(now, ep)}
-		missing -= ep.healthFactor(req.state) * c.slowStartFactor
-		if req.mayFollow(now, ep) {
-			c.weight = b.weight(now, ep, req.state)
+		missing -= ep.healthFactor(req.classState) * c.slowStartFactor
+		if req.mayRetryAt(now, ep) {
+			c.weight = b.weight(now, ep, req.classState)
 		}
 		if req.triedEndpoint(ep) {
 			c.weight *= triedWeight
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -2,9 +2,8 @@
 
 import "slices"
 
-// Reconfigure puts other settings in force, for all that is decided from now on. They are checked completely
-// first. On an error, which is a *FieldError, nothing has changed; Tier and SubscribeRequired cannot change at
-// all.
+// Reconfigure puts other settings in force, for all that is decided from now on. They are validated
+// before anything changes; an error is a *FieldError. Tier and SubscribeRequired cannot change.
 //
 // Classes and tenants are identified by their names. What was learned of those that stay, of endpoints and of
 // the tier is kept; new ones begin as in New. A request that has arrived keeps its class as it was then, also
@@ -34,10 +33,7 @@
 // configure puts valid settings in force.
 func (b *Balancer) configure(s Settings) {
 	s.Classes, s.Tenants = slices.Clone(s.Classes), slices.Clone(s.Tenants)
-	if s.RetryBudgetWindow == 0 {
-		s.RetryBudgetWindow = defaultRetryBudgetWindow
-		s.RetryBudgetMin, s.RetryBudgetRatio = defaultRetryBudgetMin, defaultRetryBudgetRatio
-	}
+	s.setDefaultRetryBudget()
 	before := b.settings
 	b.settings = &s
 	b.endpoints.replicaIndex = s.ReplicaIndex
--- a/internal/proxy/operations.go
+++ b/internal/proxy/operations.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// A change at one process reaches the others within this time, well within the grace of a drain.
+	// What one process is told reaches the others within this time, well within the grace of a drain.
 	stateSyncInterval = 50 * time.Millisecond
 	saveLearnedEvery  = 20 // syncs of the state between two saves of what the balancer has learned
 )
@@ -23,8 +23,8 @@
 	errShuttingDown = errors.New("ending")
 )
 
-// Ready implements admin.Operations: this process has an endpoint list and open listeners, and doesn't shut down. Lame
-// duck doesn't matter, as no new version could take over from a process that is in it.
+// Ready implements admin.Operations: this process has an endpoint list and open listeners, and doesn't shut down. Lame duck
+// doesn't matter, as no new version could take over from a process that is in it.
 func (p *Proxy) Ready() (settings string, err error) {
 	switch {
 	case !p.isOpen():
@@ -96,8 +96,8 @@
 	}
 }
 
-// syncState applies changes of the state by other processes of this proxy, and shares the limits with them while they
-// live. It returns when the context ends.
+// syncState follows what other processes of this proxy are told, and shares the limits with them while they live. It
+// returns when the context ends.
 func (p *Proxy) syncState(ctx context.Context) {
 	ticker := time.NewTicker(stateSyncInterval)
 	defer ticker.Stop()
