--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -13,11 +13,13 @@
 	"baylock/internal/socket"
 )
 
-// disconnects are the ways in which a client disconnects, with the request that it has sent by then.
-var disconnects = map[string]struct {
-	request func(id string) string
+// disconnect is a way in which a client disconnects.
+type disconnect struct {
+	request func(id string) string // that it has sent by then
 	leave   func(t *testing.T, c *testClient)
-}{
+}
+
+var disconnects = map[string]disconnect{
 	"closes":                      {shortPost, func(_ *testing.T, c *testClient) { c.Close() }},
 	"resets":                      {shortPost, resetConnection},
 	"half-closes":                 {shortPost, func(_ *testing.T, c *testClient) { _ = c.Conn.(*net.TCPConn).CloseWrite() }},
@@ -63,96 +65,111 @@
 // Nothing is sent for a client that has gone while its request waited, wherever that was. net/http does not notice one that
 // goes behind bytes which nobody reads.
 func TestNothingIsSentForGoneClient(t *testing.T) {
-	for how, l := range disconnects {
-		t.Run("before the read, "+how, func(t *testing.T) {
-			t.Parallel()
-			b := startOKBackend(t)
-			left, accepted := make(chan struct{}), make(chan struct{})
-			p := startAdjusted(t, func(p *Proxy) {
-				p.clients.Listener = gatedListener{Listener: p.clients.Listener, gate: func(c net.Conn) net.Conn {
-					<-left
-					for !socket.PeerClosed(c) {
-						time.Sleep(time.Millisecond)
-					}
-					close(accepted)
-					return c
-				}}
-			}, servingList(b))
-			c := connect(t, p)
-			c.send(t, l.request("1"))
-			l.leave(t, c)
-			close(left)
-			backendtest.Receive(t, "accept", accepted)
-			checkBegun(t, p, b, 0)
-		})
-		t.Run("during a slow dial, "+how, func(t *testing.T) {
-			t.Parallel()
-			b := startOKBackend(t)
-			dialling, proceed := make(chan struct{}), make(chan struct{})
-			p := startAdjusted(t, func(p *Proxy) {
-				dial := p.loop.pool.DialContext
-				p.loop.pool.DialContext = func(_ context.Context, network, addr string) (net.Conn, error) {
-					c, err := dial(context.Background(), network, addr)
-					close(dialling)
-					<-proceed
-					return c, err
-				}
-			}, servingList(b))
-			c := connect(t, p)
-			c.send(t, l.request("1"))
-			backendtest.Receive(t, "dial", dialling)
-			l.leave(t, c)
-			waitForConnectedClients(t, p.Proxy, 0)
-			close(proceed)
-			checkBegun(t, p, b, 0)
-		})
-		t.Run("between attempts, "+how, func(t *testing.T) {
-			t.Parallel()
-			b := startOKBackend(t)
-			dialling, proceed := make(chan struct{}), make(chan struct{})
-			first := true
-			p := startAdjusted(t, func(p *Proxy) {
-				dial := p.loop.pool.DialContext
-				p.loop.pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
-					if !first {
-						return dial(ctx, network, addr)
-					}
-					first = false
-					close(dialling)
-					<-proceed
-					return nil, net.ErrClosed
-				}
-			}, servingList(b, b))
-			c := connect(t, p)
-			c.send(t, l.request("1"))
-			backendtest.Receive(t, "dial", dialling)
-			l.leave(t, c)
-			waitForConnectedClients(t, p.Proxy, 0)
-			close(proceed)
-			checkBegun(t, p, b, 0)
-		})
-		t.Run("in the balancer's queue, "+how, func(t *testing.T) {
-			t.Parallel()
-			release := make(chan struct{})
-			b := backendtest.Start(t, respondAfter(release))
-			p := startAdjusted(t, func(*Proxy) {}, servingList(b),
-				`"name":"post"`, `"by_arrival":true,"name":"post"`)
-			first := connect(t, p)
-			first.send(t, shortPost("h"))
-			backendtest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
-			c := connect(t, p)
-			c.send(t, l.request("1"))
-			backendtest.WaitUntil(t, func() bool { return p.hasRequest("1") })
-			l.leave(t, c)
-			waitForConnectedClients(t, p.Proxy, 1)
-			close(release)
-			if resp, _ := first.readResponse(t); resp.StatusCode != 200 {
-				t.Errorf("the first: got %s", resp.Status)
+	for phase, test := range map[string]func(*testing.T, disconnect){
+		"before the read":         testGoneBeforeRead,
+		"during a slow dial":      testGoneDuringDial,
+		"between attempts":        testGoneBetweenAttempts,
+		"in the balancer's queue": testGoneInQueue,
+	} {
+		for how, d := range disconnects {
+			t.Run(phase+", "+how, func(t *testing.T) {
+				t.Parallel()
+				test(t, d)
+			})
+		}
+	}
+}
+
+func testGoneBeforeRead(t *testing.T, d disconnect) {
+	t.Helper()
+	b := startOKBackend(t)
+	left, accepted := make(chan struct{}), make(chan struct{})
+	p := startAdjusted(t, func(p *Proxy) {
+		p.clients.Listener = gatedListener{Listener: p.clients.Listener, gate: func(c net.Conn) net.Conn {
+			<-left
+			for !socket.PeerClosed(c) {
+				time.Sleep(time.Millisecond)
 			}
-			first.Close()
-			checkBegun(t, p, b, 1)
-		})
+			close(accepted)
+			return c
+		}}
+	}, servingList(b))
+	c := connect(t, p)
+	c.send(t, d.request("1"))
+	d.leave(t, c)
+	close(left)
+	backendtest.Receive(t, "accept", accepted)
+	checkBegun(t, p, b, 0)
+}
+
+func testGoneDuringDial(t *testing.T, d disconnect) {
+	t.Helper()
+	b := startOKBackend(t)
+	dialling, proceed := make(chan struct{}), make(chan struct{})
+	p := startAdjusted(t, func(p *Proxy) {
+		dial := p.loop.pool.DialContext
+		p.loop.pool.DialContext = func(_ context.Context, network, addr string) (net.Conn, error) {
+			c, err := dial(context.Background(), network, addr)
+			close(dialling)
+			<-proceed
+			return c, err
+		}
+	}, servingList(b))
+	c := connect(t, p)
+	c.send(t, d.request("1"))
+	backendtest.Receive(t, "dial", dialling)
+	d.leave(t, c)
+	waitForConnectedClients(t, p.Proxy, 0)
+	close(proceed)
+	checkBegun(t, p, b, 0)
+}
+
+func testGoneBetweenAttempts(t *testing.T, d disconnect) {
+	t.Helper()
+	b := startOKBackend(t)
+	dialling, proceed := make(chan struct{}), make(chan struct{})
+	first := true
+	p := startAdjusted(t, func(p *Proxy) {
+		dial := p.loop.pool.DialContext
+		p.loop.pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			if !first {
+				return dial(ctx, network, addr)
+			}
+			first = false
+			close(dialling)
+			<-proceed
+			return nil, net.ErrClosed
+		}
+	}, servingList(b, b))
+	c := connect(t, p)
+	c.send(t, d.request("1"))
+	backendtest.Receive(t, "dial", dialling)
+	d.leave(t, c)
+	waitForConnectedClients(t, p.Proxy, 0)
+	close(proceed)
+	checkBegun(t, p, b, 0)
+}
+
+func testGoneInQueue(t *testing.T, d disconnect) {
+	t.Helper()
+	release := make(chan struct{})
+	b := backendtest.Start(t, respondAfter(release))
+	p := startAdjusted(t, func(*Proxy) {}, servingList(b),
+		`"name":"post"`, `"by_arrival":true,"name":"post"`)
+	first := connect(t, p)
+	first.send(t, shortPost("h"))
+	backendtest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
+	c := connect(t, p)
+	c.send(t, d.request("1"))
+	backendtest.WaitUntil(t, func() bool { return p.hasRequest("1") })
+	d.leave(t, c)
+	waitForConnectedClients(t, p.Proxy, 1)
+	close(release)
+	if resp, _ := first.readResponse(t); resp.StatusCode != 200 {
+		t.Errorf("the first: got %s", resp.Status)
 	}
+	first.Close()
+	checkBegun(t, p, b, 1)
 }
 
 func TestDisconnectCancelsAttempt(t *testing.T) {
--- a/internal/proxy/memory_test.go
+++ b/internal/proxy/memory_test.go
@@ -31,66 +31,77 @@
 	var before, now runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	var all sync.WaitGroup
-	var most atomic.Uint64
-	var whole atomic.Int32
+	var clients sync.WaitGroup
+	var served atomic.Int32
 	for i := range many {
 		c := connect(t, p)
-		all.Go(func() {
-			go func() {
-				_, _ = io.WriteString(c, postHead(fmt.Sprint("r", i), fmt.Sprint("Content-Length: ", size)))
-				_, _ = c.Write(body)
-			}()
-			resp, err := http.ReadResponse(c.r, nil)
-			if err == nil && resp.StatusCode == 503 { // on a busy machine the rules may refuse some
-				return
-			}
-			if err != nil || resp.StatusCode != 200 {
-				t.Errorf("got %v, %v", resp, err)
-				return
-			}
-			whole.Add(1)
-			got := 0
-			buf := make([]byte, 256<<10)
-			for {
-				n, err := resp.Body.Read(buf)
-				if got += n; err == io.EOF {
-					break
-				} else if err != nil {
-					t.Errorf("after %d bytes: %v", got, err)
-					return
-				}
-				time.Sleep(time.Millisecond)
-			}
-			if got != size {
-				t.Errorf("got %d bytes", got)
+		clients.Go(func() {
+			if c.exchangeSlowly(t, fmt.Sprint("r", i), body) {
+				served.Add(1)
 			}
 		})
 	}
 	done := make(chan struct{})
-	go func() { all.Wait(); close(done) }()
+	go func() { clients.Wait(); close(done) }()
+	var maxInUse uint64
 	for end := false; !end; {
 		select {
 		case <-done:
 			end = true
 		case <-time.After(20 * time.Millisecond):
 			runtime.ReadMemStats(&now)
-			most.Store(max(most.Load(), now.HeapInuse))
+			maxInUse = max(maxInUse, now.HeapInuse)
 			if n := p.limits.budget.InUse(); n > p.limits.budget.Limit() {
 				t.Fatalf("%d bytes are reserved of at most %d", n, p.limits.budget.Limit())
 			}
 		}
 	}
-	if n := whole.Load(); n < many/3 {
+	if n := served.Load(); n < many/3 {
 		t.Errorf("%d of %d were served", n, many)
 	}
-	// The clients' own buffers are counted in.
-	if grown := int64(most.Load()) - int64(before.HeapInuse); grown > (32<<20)+many*(256<<10) {
+	// This includes the buffers of the clients.
+	if grown := int64(maxInUse) - int64(before.HeapInuse); grown > (32<<20)+many*(256<<10) {
 		t.Errorf("%d MB more memory in use", grown>>20)
 	}
 	backendtest.WaitUntil(t, func() bool { return p.limits.budget.InUse() == 0 })
 }
 
+// exchangeSlowly sends a body and reads a response of the same length slowly. It reports whether the request was served,
+// and not rejected, as may happen on a busy machine.
+func (c *testClient) exchangeSlowly(t *testing.T, id string, body []byte) (served bool) {
+	t.Helper()
+	go func() {
+		_, _ = io.WriteString(c, postHead(id, fmt.Sprint("Content-Length: ", len(body))))
+		_, _ = c.Write(body)
+	}()
+	resp, err := http.ReadResponse(c.r, nil)
+	if err == nil && resp.StatusCode == 503 {
+		return false
+	}
+	if err != nil || resp.StatusCode != 200 {
+		t.Errorf("got %v, %v", resp, err)
+		return false
+	}
+	received := 0
+	buffer := make([]byte, 256<<10)
+	for {
+		n, err := resp.Body.Read(buffer)
+		received += n
+		if err == io.EOF {
+			break
+		}
+		if err != nil {
+			t.Errorf("after %d bytes: %v", received, err)
+			return true
+		}
+		time.Sleep(time.Millisecond)
+	}
+	if received != len(body) {
+		t.Errorf("got %d bytes", received)
+	}
+	return true
+}
+
 // Without budget a body is streamed at once rather than buffered.
 func TestProxyStreamsBodyWhenBudgetIsExhausted(t *testing.T) {
 	p := startWithBackend(t, startBufferingBackend(t, echo))
--- a/internal/proxy/takeover_test.go
+++ b/internal/proxy/takeover_test.go
@@ -39,35 +39,7 @@
 	var load sync.WaitGroup
 	for i := range 8 {
 		load.Go(func() {
-			c := newClient(nil)
-			for n := 0; ; n++ {
-				select {
-				case <-end:
-					return
-				default:
-				}
-				if c.Conn == nil {
-					nc, err := net.Dial("tcp", old.Addr())
-					if err != nil {
-						t.Errorf("no connection: %v", err)
-						return
-					}
-					_ = nc.SetDeadline(time.Now().Add(backendtest.Patience))
-					c = newClient(nc)
-				}
-				c.send(t, lookRequest(fmt.Sprintf("c%d-%d", i, n), 4000))
-				resp, err := http.ReadResponse(c.r, nil)
-				if err != nil || resp.StatusCode != 200 && resp.StatusCode != 503 { // rejections may happen on a busy machine
-					t.Errorf("client %d, request %d: %v %v", i, n, resp, err)
-					return
-				}
-				_, _ = io.Copy(io.Discard, resp.Body)
-				if resp.Close || n%5 == 4 {
-					c.Conn.Close()
-					c.Conn = nil
-				}
-				time.Sleep(20 * time.Millisecond) // within the tenant's share
-			}
+			sendUntil(t, end, old.Addr(), fmt.Sprint("c", i))
 		})
 	}
 	next := startWithConsole(t, dir, old.Addr(), d.addr, entries...)
@@ -114,6 +86,40 @@
 	}
 }
 
+// sendUntil sends requests until end is closed, on one connection after the other.
+func sendUntil(t *testing.T, end <-chan struct{}, address, client string) {
+	t.Helper()
+	c := newClient(nil)
+	for n := 0; ; n++ {
+		select {
+		case <-end:
+			return
+		default:
+		}
+		if c.Conn == nil {
+			connection, err := net.Dial("tcp", address)
+			if err != nil {
+				t.Errorf("no connection: %v", err)
+				return
+			}
+			_ = connection.SetDeadline(time.Now().Add(backendtest.Patience))
+			c = newClient(connection)
+		}
+		c.send(t, lookRequest(fmt.Sprintf("%s-%d", client, n), 4000))
+		resp, err := http.ReadResponse(c.r, nil)
+		if err != nil || resp.StatusCode != 200 && resp.StatusCode != 503 { // rejections may happen on a busy machine
+			t.Errorf("client %s, request %d: %v %v", client, n, resp, err)
+			return
+		}
+		_, _ = io.Copy(io.Discard, resp.Body)
+		if resp.Close || n%5 == 4 {
+			c.Conn.Close()
+			c.Conn = nil
+		}
+		time.Sleep(20 * time.Millisecond) // within the tenant's quota
+	}
+}
+
 // isDetached tells whether the loop has detached a backend.
 func (p *runningProxy) isDetached(id string) bool {
 	got := make(chan bool, 1)
