--- a/internal/proxy/body_test.go
+++ b/internal/proxy/body_test.go
@@ -46,19 +46,19 @@
 // startBufferingBackend starts a backend that responds when it has received all of a request's body.
 func startBufferingBackend(t *testing.T, reply func(w io.Writer, r *http.Request, body []byte)) *backendtest.Backend {
 	t.Helper()
-	var came atomic.Pointer[backendtest.Backend]
+	var backend atomic.Pointer[backendtest.Backend]
 	b := backendtest.StartRaw(t, func(w io.Writer, r *http.Request) bool {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return false
 		}
-		if b := came.Load(); b != nil {
+		if b := backend.Load(); b != nil {
 			b.Requests.Add(1)
 		}
 		reply(w, r, body)
 		return true
 	})
-	came.Store(b)
+	backend.Store(b)
 	return b
 }
 
@@ -225,7 +225,7 @@
 func TestStreamedRequestTimeoutStartsAfterUpload(t *testing.T) {
 	p := startWithBackend(t, startBufferingBackend(t, echo))
 	c := connect(t, p)
-	took := make(chan balancer.Microseconds, 1)
+	deadline := make(chan balancer.Microseconds, 1)
 	c.send(t, postHead("1", "Content-Length: 100000")+distinctText(70_000))
 	var r *request
 	backendtest.WaitUntil(t, func() bool {
@@ -242,8 +242,8 @@
 	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != distinctText(100_000) {
 		t.Errorf("got %s with %d bytes", resp.Status, len(body))
 	}
-	p.onLoop(func() { took <- r.Deadline })
-	if left := time.Until(p.loop.clock.Time(backendtest.Receive(t, "answer of the loop", took))); left < 3700*time.Millisecond {
+	p.onLoop(func() { deadline <- r.Deadline })
+	if left := time.Until(p.loop.clock.Time(backendtest.Receive(t, "answer of the loop", deadline))); left < 3700*time.Millisecond {
 		t.Errorf("%v were left of 4 s", left)
 	}
 }
--- a/internal/proxy/connections_test.go
+++ b/internal/proxy/connections_test.go
@@ -16,7 +16,7 @@
 )
 
 // startWithFewConnections starts a proxy with a low limit of client connections, which it returns.
-func startWithFewConnections(t *testing.T, reply backendtest.Responder) (p *runningProxy, most int) {
+func startWithFewConnections(t *testing.T, reply backendtest.Responder) (p *runningProxy, maxConnections int) {
 	t.Helper()
 	b := backendtest.Start(t, reply)
 	p = startProxy(t, startDiscovery(t).addr, 80, servingList(b))
@@ -25,22 +25,22 @@
 
 // Idle connections and unused ones are evicted, so that they shut no client with a request out.
 func TestProxyEvictsConnectionsWithoutRequests(t *testing.T) {
-	p, most := startWithFewConnections(t, backendtest.Respond(backendtest.OK, true))
-	for i := range most {
+	p, maxConnections := startWithFewConnections(t, backendtest.Respond(backendtest.OK, true))
+	for i := range maxConnections {
 		c := connect(t, p)
 		if i%2 == 0 {
 			c.send(t, lookRequest(fmt.Sprint("i", i), 4000))
 			c.readResponse(t)
 		}
 	}
-	for i := range 2 * most {
+	for i := range 2 * maxConnections {
 		c := connect(t, p)
 		c.send(t, lookRequest(fmt.Sprint("n", i), 4000))
 		if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
 			t.Fatalf("newcomer %d: got %s", i, resp.Status)
 		}
-		if n := p.clients.Stats().Open; n > most {
-			t.Fatalf("%d connections of at most %d", n, most)
+		if n := p.clients.Stats().Open; n > maxConnections {
+			t.Fatalf("%d connections of at most %d", n, maxConnections)
 		}
 	}
 }
@@ -48,27 +48,27 @@
 // A connection with an open request is never evicted.
 func TestProxyKeepsConnectionsWithOpenRequests(t *testing.T) {
 	release := make(chan struct{})
-	p, most := startWithFewConnections(t, func(w io.Writer, _ *http.Request, _ int) bool {
+	p, maxConnections := startWithFewConnections(t, func(w io.Writer, _ *http.Request, _ int) bool {
 		<-release
 		_, _ = io.WriteString(w, backendtest.OK)
 		return true
 	})
-	var asking []*testClient
-	for i := range most {
+	var clients []*testClient
+	for i := range maxConnections {
 		c := connect(t, p)
 		c.send(t, lookRequest(fmt.Sprint(i), 8000))
-		asking = append(asking, c)
+		clients = append(clients, c)
 	}
 	backendtest.WaitUntil(t, func() bool {
 		stats := p.clients.Stats()
-		return stats.Open == most && stats.Unused == 0
+		return stats.Open == maxConnections && stats.Unused == 0
 	})
 	over := connect(t, p)
 	if _, err := over.r.ReadByte(); err == nil {
 		t.Error("a connection over the limit got a response")
 	}
 	close(release)
-	for i, c := range asking {
+	for i, c := range clients {
 		if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
 			t.Errorf("request %d: got %s", i, resp.Status)
 		}
@@ -90,8 +90,8 @@
 	defer d.Close()
 	p := startWithConsole(t, t.TempDir(), "127.0.0.1:0", strings.TrimPrefix(d.URL, "http://"),
 		listEntry("a", a.Address, discovery.Serving), listEntry("b", b.Address, discovery.Serving))
-	most := p.clients.Stats().Max
-	for i := range 2 * most {
+	maxConnections := p.clients.Stats().Max
+	for i := range 2 * maxConnections {
 		switch c := connect(t, p); i % 3 {
 		case 0: // silent
 		case 1:
@@ -118,22 +118,22 @@
 	if ok := p.serveLookups(t, 20); ok != 20 || a.Requests.Load() != before {
 		t.Errorf("after discovery's return %d of 20 served, %d by a backend that drains", ok, a.Requests.Load()-before)
 	}
-	if n := p.clients.Stats().Open; n > most {
-		t.Errorf("%d connections of at most %d", n, most)
+	if n := p.clients.Stats().Open; n > maxConnections {
+		t.Errorf("%d connections of at most %d", n, maxConnections)
 	}
 }
 
 // A process that begins to share its descriptors with another closes what idle clients hold over its half.
 func TestHalvedLimitsCloseIdleConnections(t *testing.T) {
-	p, most := startWithFewConnections(t, backendtest.Respond(backendtest.OK, true))
-	for range most {
+	p, maxConnections := startWithFewConnections(t, backendtest.Respond(backendtest.OK, true))
+	for range maxConnections {
 		c := connect(t, p)
 		c.send(t, lookRequest(time.Now().String(), 4000))
 		c.readResponse(t)
 	}
 	p.limits.setAlone(false)
-	if n, most := p.clients.Stats().Open, p.clients.Stats().Max; n > most {
-		t.Errorf("%d connections of at most %d", n, most)
+	if n, maxConnections := p.clients.Stats().Open, p.clients.Stats().Max; n > maxConnections {
+		t.Errorf("%d connections of at most %d", n, maxConnections)
 	}
 }
 
@@ -151,8 +151,8 @@
 	close(release)
 	c.readResponse(t)
 	backendtest.WaitUntil(t, func() bool { return p.clients.Stats().Idle == 1 })
-	if others, taken := p.clients.CloseIdle(0, 0); others != 1 || taken != 0 {
-		t.Errorf("%d others, %d taken", others, taken)
+	if remaining, active := p.clients.CloseIdle(0, 0); remaining != 1 || active != 0 {
+		t.Errorf("%d remaining, %d active", remaining, active)
 	}
 	c.send(t, lookRequest("2", 8000)[1:])
 	if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
@@ -173,8 +173,8 @@
 	c := connect(t, p)
 	c.send(t, shortPost("1"))
 	backendtest.Receive(t, "read", read)
-	if others, _ := p.clients.CloseIdle(0, 0); others != 0 {
-		t.Errorf("%d connections were left open", others)
+	if remaining, _ := p.clients.CloseIdle(0, 0); remaining != 0 {
+		t.Errorf("%d connections were left open", remaining)
 	}
 	close(proceed)
 	if _, err := c.r.ReadByte(); err == nil {
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -52,13 +52,13 @@
 func waitForConnectedClients(t *testing.T, p *Proxy, n int) {
 	t.Helper()
 	backendtest.WaitUntil(t, func() bool {
-		here := 0
+		connected := 0
 		for _, c := range p.clients.Connections() {
 			if !c.ClientGone() {
-				here++
+				connected++
 			}
 		}
-		return here == n
+		return connected == n
 	})
 }
 
@@ -83,10 +83,10 @@
 func testGoneBeforeRead(t *testing.T, d disconnect) {
 	t.Helper()
 	b := startOKBackend(t)
-	left, accepted := make(chan struct{}), make(chan struct{})
+	gone, accepted := make(chan struct{}), make(chan struct{})
 	p := startAdjusted(t, func(p *Proxy) {
 		p.clients.Listener = gatedListener{Listener: p.clients.Listener, gate: func(c net.Conn) net.Conn {
-			<-left
+			<-gone
 			for !socket.PeerClosed(c) {
 				time.Sleep(time.Millisecond)
 			}
@@ -97,7 +97,7 @@
 	c := connect(t, p)
 	c.send(t, d.request("1"))
 	d.leave(t, c)
-	close(left)
+	close(gone)
 	backendtest.Receive(t, "accept", accepted)
 	checkBegun(t, p, b, 0)
 }
@@ -173,23 +173,23 @@
 }
 
 func TestDisconnectCancelsAttempt(t *testing.T) {
-	came := make(chan struct{}, 1)
+	arrived := make(chan struct{}, 1)
 	gone := make(chan struct{}, 1)
 	p, _ := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
-		came <- struct{}{}
+		arrived <- struct{}{}
 		_, _ = w.(net.Conn).Read(make([]byte, 1))
 		gone <- struct{}{}
 		return false
 	})
 	c := connect(t, p)
 	c.send(t, lookRequest("1", 8000))
-	backendtest.Receive(t, "request", came)
+	backendtest.Receive(t, "request", arrived)
 	c.Close()
 	backendtest.Receive(t, "end of the attempt", gone)
 	backendtest.WaitUntil(t, func() bool { // nothing is left of it
-		left := make(chan int, 1)
-		p.onLoop(func() { left <- len(p.loop.requests) })
-		return backendtest.Receive(t, "answer of the loop", left) == 0
+		remaining := make(chan int, 1)
+		p.onLoop(func() { remaining <- len(p.loop.requests) })
+		return backendtest.Receive(t, "answer of the loop", remaining) == 0
 	})
 }
 
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -164,9 +164,9 @@
 func waitUntilIdle(t *testing.T, p *runningProxy) {
 	t.Helper()
 	backendtest.WaitUntil(t, func() bool {
-		left := make(chan int, 1)
-		p.onLoop(func() { left <- len(p.loop.requests) + p.loop.timers.Len() })
-		n := backendtest.Receive(t, "answer of the loop", left)
+		remaining := make(chan int, 1)
+		p.onLoop(func() { remaining <- len(p.loop.requests) + p.loop.timers.Len() })
+		n := backendtest.Receive(t, "answer of the loop", remaining)
 		pool := p.loop.pool.Stats()
 		return n == 0 && pool.Open == pool.Idle && p.limits.budget.InUse() == 0
 	})
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -164,7 +164,7 @@
 func TestRejectedReloadChangesNothing(t *testing.T) {
 	p, _, _ := startWithOperators(t)
 	p.mustReload(t, changedConfig(t, p, "first"))
-	before, most := p.loop.settings.Load(), p.most()
+	before, maxConnections := p.loop.settings.Load(), p.maxClientConnections()
 	for want, spoil := range map[string]func(*config.Config){
 		"name":              func(c *config.Config) { c.Name = "other" },
 		"listen":            func(c *config.Config) { c.Listen = "127.0.0.1:1" },
@@ -186,7 +186,7 @@
 			if err := p.Reload(cfg); err == nil || !strings.Contains(err.Error(), want) {
 				t.Errorf("got %v", err)
 			}
-			if p.loop.settings.Load() != before || p.most() != most {
+			if p.loop.settings.Load() != before || p.maxClientConnections() != maxConnections {
 				t.Error("it was applied in part")
 			}
 		})
@@ -238,7 +238,7 @@
 
 // A request that was read under the old settings, and reaches the loop after the new ones, is taken under the numbers that
 // its class and tenant have now, or rejected unsent where its class is gone or has another idempotency.
-func TestReloadRenumbersRequestsNotYetTaken(t *testing.T) {
+func TestReloadRenumbersRequestsInTransit(t *testing.T) {
 	for name, c := range map[string]struct {
 		old, reload string
 		want        int
@@ -279,9 +279,9 @@
 			}
 			site := p.loop.settings.Load().Site
 			if r, ok := <-ids; ok && site.Classes[r.Class] != "look" {
-				t.Errorf("taken as class %q", site.Classes[r.Class])
+				t.Errorf("accepted as class %q", site.Classes[r.Class])
 			} else if ok && r.Tenant != config.NoTenant && site.Tenants[r.Tenant] != "acme" {
-				t.Errorf("taken as tenant %q", site.Tenants[r.Tenant])
+				t.Errorf("accepted as tenant %q", site.Tenants[r.Tenant])
 			}
 		})
 	}
@@ -348,8 +348,8 @@
 	p.mustReload(t, cfg)
 	forClients, forBackends := cfg.Limits.Connections()
 	pool := p.loop.pool.Stats()
-	if p.most() != forClients || pool.MaxOpen != forBackends || p.limits.budget.Limit() != 100<<20/8 {
-		t.Errorf("%d for clients, %d for backends, %d bytes for bodies", p.most(), pool.MaxOpen, p.limits.budget.Limit())
+	if p.maxClientConnections() != forClients || pool.MaxOpen != forBackends || p.limits.budget.Limit() != 100<<20/8 {
+		t.Errorf("%d for clients, %d for backends, %d bytes for bodies", p.maxClientConnections(), pool.MaxOpen, p.limits.budget.Limit())
 	}
 	t.Cleanup(func() { // the runtime's limit holds for all tests
 		cfg.Limits.MemoryMB = 0
--- a/internal/proxy/takeover_test.go
+++ b/internal/proxy/takeover_test.go
@@ -31,7 +31,7 @@
 	d, dir := startDiscovery(t), t.TempDir()
 	entries := []string{listEntry("a", a.Address, discovery.Serving), listEntry("b", b.Address, discovery.Serving), listEntry("c", c.Address, discovery.Serving)}
 	old := startWithConsole(t, dir, "127.0.0.1:0", d.addr, entries...)
-	before := old.most()
+	before := old.maxClientConnections()
 	if got := callConsole(t, old, "POST /_backends/detach", "a"); got != 200 {
 		t.Fatalf("detach: %d", got)
 	}
@@ -51,7 +51,7 @@
 			return false
 		}
 	})
-	backendtest.WaitUntil(t, func() bool { return old.most() < before && next.most() < before })
+	backendtest.WaitUntil(t, func() bool { return old.maxClientConnections() < before && next.maxClientConnections() < before })
 	fresh := connect(t, next)
 	fresh.send(t, lookRequest("new", 4000))
 	fresh.readResponse(t)
@@ -80,7 +80,7 @@
 	if next.serveLookups(t, 5) != 5 || next.health(t) != 200 {
 		t.Error("the new process does not serve alone")
 	}
-	backendtest.WaitUntil(t, func() bool { return next.most() == before })
+	backendtest.WaitUntil(t, func() bool { return next.maxClientConnections() == before })
 	if n := a.Requests.Load(); n != 0 {
 		t.Errorf("%d requests to the detached backend", n)
 	}
@@ -127,7 +127,7 @@
 	return <-got
 }
 
-func (p *runningProxy) most() int {
+func (p *runningProxy) maxClientConnections() int {
 	return p.clients.Stats().Max
 }
 
@@ -168,7 +168,7 @@
 	d, dir := startDiscovery(t), t.TempDir()
 	entries := []string{listEntry("a", a.Address, discovery.Serving), listEntry("b", b.Address, discovery.Serving)}
 	old := startWithConsole(t, dir, "127.0.0.1:0", d.addr, entries...)
-	before := old.most()
+	before := old.maxClientConnections()
 	callConsole(t, old, "POST /_backends/detach", "a")
 	cfg, err := json.Marshal(config.Config{Name: "n0", Listen: old.Addr(), Console: "127.0.0.1:0", TempDir: dir,
 		Discovery: d.addr, Seed: 8, Limits: config.Limits{Sockets: 400}})
@@ -199,9 +199,9 @@
 	if ok := both.serveLookups(t, 5); ok != 5 || old.clients.Stats().Open != 0 {
 		t.Errorf("%d of 5 served, %d connections at the old process", ok, old.clients.Stats().Open)
 	}
-	backendtest.WaitUntil(t, func() bool { return old.server.State().TakenOver && old.most() < before })
+	backendtest.WaitUntil(t, func() bool { return old.server.State().TakenOver && old.maxClientConnections() < before })
 	_ = next.Process.Kill()
-	backendtest.WaitUntil(t, func() bool { return !old.server.State().TakenOver && old.most() == before })
+	backendtest.WaitUntil(t, func() bool { return !old.server.State().TakenOver && old.maxClientConnections() == before })
 	if ok := old.serveLookups(t, 20); ok != 20 || a.Requests.Load() != 0 {
 		t.Errorf("%d of 20 served, %d to the detached backend", ok, a.Requests.Load())
 	}
@@ -313,15 +313,15 @@
 	<-next.opened
 	old.stop()
 	backendtest.WaitUntil(t, func() bool { return old.server.State().Draining })
-	told := time.Now()
+	stoppedAt := time.Now()
 	for i, want := range []int{200, 502} {
 		rest := distinctText(100_000)[70_000:]
 		uploads[i].send(t, rest[:15_000])
 		if want == 502 {
-			if _, err := idle.r.ReadByte(); err != io.EOF || time.Since(told) > time.Second {
-				t.Errorf("the idle connection: %v after %v", err, time.Since(told))
+			if _, err := idle.r.ReadByte(); err != io.EOF || time.Since(stoppedAt) > time.Second {
+				t.Errorf("the idle connection: %v after %v", err, time.Since(stoppedAt))
 			}
-			time.Sleep(time.Until(told.Add(streamingWindow + 200*time.Millisecond)))
+			time.Sleep(time.Until(stoppedAt.Add(streamingWindow + 200*time.Millisecond)))
 		}
 		uploads[i].send(t, rest[15_000:])
 		if resp, _ := uploads[i].readResponse(t); resp.StatusCode != want {
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -155,12 +155,12 @@
 		listJSON(5, true, listEntry("a", a.Address, discovery.Serving), listEntry("b", b.Address, discovery.Serving)))
 	backendtest.Receive(t, "watch", d.calls)
 	silent := time.Now()
-	backendtest.Receive(t, "call for the whole list", d.calls)
-	backendtest.Receive(t, "call after that was given up", d.calls)
+	backendtest.Receive(t, "call for the complete list", d.calls)
+	backendtest.Receive(t, "call after that was abandoned", d.calls)
 	d.answers <- listJSON(6, true, listEntry("a", a.Address, discovery.Serving), listEntry("b", b.Address, discovery.Draining))
 	backendtest.WaitUntil(t, func() bool { _, ok := p.loop.pool.Find("b"); return !ok })
 	if took := time.Since(silent); took > 6*time.Second {
-		t.Errorf("told after %v", took)
+		t.Errorf("applied after %v", took)
 	}
 }
 
@@ -218,7 +218,7 @@
 // requested again soon.
 func TestWatchRequestsIncompleteListAgain(t *testing.T) {
 	a, b := startOKBackend(t), startOKBackend(t)
-	whole := listJSON(9, true, listEntry("b", b.Address, discovery.Serving))
+	complete := listJSON(9, true, listEntry("b", b.Address, discovery.Serving))
 	for name, cut := range map[string]bool{"breaks off": true, "stalls": false} {
 		t.Run(name, func(t *testing.T) {
 			over := make(chan struct{})
@@ -226,8 +226,8 @@
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				switch n := calls.Add(1); {
 				case n == 1:
-					w.Header().Set("Content-Length", fmt.Sprint(len(whole)))
-					_, _ = io.WriteString(w, whole[:len(whole)/2])
+					w.Header().Set("Content-Length", fmt.Sprint(len(complete)))
+					_, _ = io.WriteString(w, complete[:len(complete)/2])
 					_ = http.NewResponseController(w).Flush()
 					if !cut {
 						select {
@@ -236,7 +236,7 @@
 						}
 					}
 				case n == 2:
-					_, _ = io.WriteString(w, whole)
+					_, _ = io.WriteString(w, complete)
 				default:
 					select {
 					case <-over:
@@ -247,11 +247,11 @@
 			defer s.Close()
 			defer close(over)
 			p := startProxy(t, strings.TrimPrefix(s.URL, "http://"), 200, servingList(a))
-			start, came := time.Now(), b.Requests.Load()
+			start, before := time.Now(), b.Requests.Load()
 			if ok := p.serveLookups(t, 1); ok != 1 {
 				t.Error("the last list does not stand")
 			}
-			backendtest.WaitUntil(t, func() bool { p.serveLookups(t, 1); return b.Requests.Load() > came })
+			backendtest.WaitUntil(t, func() bool { p.serveLookups(t, 1); return b.Requests.Load() > before })
 			if took := time.Since(start); took > watchTimeout+time.Second {
 				t.Errorf("the present list was known after %v", took)
 			}
