--- a/internal/clientconn/listener.go
+++ b/internal/clientconn/listener.go
@@ -1,5 +1,5 @@
-// Package clientconn accepts the connections of clients up to a limit and tracks which of them carry a request. It
-// imports nothing of the rest of the proxy but packages socket and message.
+// Package clientconn accepts the connections of clients up to a limit and tracks which of them carry a request, so that
+// others can be evicted or closed without losing a request.
 package clientconn
 
 import (
@@ -27,12 +27,12 @@
 	WaitForCapacity bool
 }
 
-// Listener accepts connections up to a limit. It goes on accepting at the limit: were the rest left in the kernel,
-// connections without a request would shut out those that bring one. A connection without a request is evicted for
-// a new one; where all carry requests, the new one is closed, or waits if Options say so.
+// Listener accepts connections up to a limit. At the limit it accepts further ones, and evicts a connection without a
+// request for each; left in the kernel's queue, a client with a request would wait behind idle ones. Where all carry
+// requests the new connection is closed, or waits if the Options say so.
 //
-// Its TrackState is for the ConnState of the http.Server that serves it. The embedded listener may be set later than the
-// options, but before the first Accept.
+// The ConnState of the http.Server that serves it has to call TrackState. The embedded listener has to be set before the
+// first Accept. All methods are safe for concurrent use.
 type Listener struct {
 	net.Listener
 	requestGrace    time.Duration
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -80,6 +80,16 @@
 	}
 }
 
+// disconnectDuringDial sends a request and disconnects once its attempt has begun to dial.
+func disconnectDuringDial(t *testing.T, p *runningProxy, d disconnect, dialing <-chan struct{}) {
+	t.Helper()
+	c := connect(t, p)
+	c.send(t, d.request("1"))
+	backendtest.Receive(t, "dial", dialing)
+	d.leave(t, c)
+	waitForConnectedClients(t, p.Proxy, 0)
+}
+
 func testGoneBeforeRead(t *testing.T, d disconnect) {
 	t.Helper()
 	b := startOKBackend(t)
@@ -105,21 +115,17 @@
 func testGoneDuringDial(t *testing.T, d disconnect) {
 	t.Helper()
 	b := startOKBackend(t)
-	dialling, proceed := make(chan struct{}), make(chan struct{})
+	dialing, proceed := make(chan struct{}), make(chan struct{})
 	p := startAdjusted(t, func(p *Proxy) {
 		dial := p.loop.pool.DialContext
 		p.loop.pool.DialContext = func(_ context.Context, network, addr string) (net.Conn, error) {
 			c, err := dial(context.Background(), network, addr)
-			close(dialling)
+			close(dialing)
 			<-proceed
 			return c, err
 		}
 	}, servingList(b))
-	c := connect(t, p)
-	c.send(t, d.request("1"))
-	backendtest.Receive(t, "dial", dialling)
-	d.leave(t, c)
-	waitForConnectedClients(t, p.Proxy, 0)
+	disconnectDuringDial(t, p, d, dialing)
 	close(proceed)
 	checkBegun(t, p, b, 0)
 }
@@ -127,7 +133,7 @@
 func testGoneBetweenAttempts(t *testing.T, d disconnect) {
 	t.Helper()
 	b := startOKBackend(t)
-	dialling, proceed := make(chan struct{}), make(chan struct{})
+	dialing, proceed := make(chan struct{}), make(chan struct{})
 	first := true
 	p := startAdjusted(t, func(p *Proxy) {
 		dial := p.loop.pool.DialContext
@@ -136,16 +142,12 @@
 				return dial(ctx, network, addr)
 			}
 			first = false
-			close(dialling)
+			close(dialing)
 			<-proceed
 			return nil, net.ErrClosed
 		}
 	}, servingList(b, b))
-	c := connect(t, p)
-	c.send(t, d.request("1"))
-	backendtest.Receive(t, "dial", dialling)
-	d.leave(t, c)
-	waitForConnectedClients(t, p.Proxy, 0)
+	disconnectDuringDial(t, p, d, dialing)
 	close(proceed)
 	checkBegun(t, p, b, 0)
 }
