--- a/balancer/crosszone_test.go
+++ b/balancer/crosszone_test.go
@@ -1,6 +1,9 @@
 package balancer
 
-import "testing"
+import (
+	"math"
+	"testing"
+)
 
 func TestZonePreferenceFollowsOwnZone(t *testing.T) {
 	b, _ := newWithEndpoints(t, testSettings(), 8)
@@ -23,3 +26,26 @@
 		t.Errorf("with the own zone slow, another one weighs %.3f of it", w/ownWeight)
 	}
 }
+
+func TestZonePreferenceFollowsSignal(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		sample sample
+		want   float64
+	}{
+		{"healthy", sample{testStart, false, fastResponse}, initialCrossZoneWeight * crossZoneDecay},
+		{"faulty", sample{testStart, true, fastResponse}, initialCrossZoneWeight + crossZoneIncrease},
+		{"overloaded", sample{testStart, true, slowResponse}, initialCrossZoneWeight + crossZoneIncrease},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			z := newZonePreference(0)
+			z.evidence.configure(maxSlowFraction, second)
+			for z.evidence.samples > 0 || z.evidence.start == 0 { // until the first round is complete
+				z.adjust(testStart, c.sample)
+			}
+			if math.Abs(z.crossZoneWeight-c.want) > 1e-9 {
+				t.Errorf("weight %v, want %v", z.crossZoneWeight, c.want)
+			}
+		})
+	}
+}
--- a/balancer/evidence_test.go
+++ b/balancer/evidence_test.go
@@ -1,6 +1,10 @@
 package balancer
 
-import "testing"
+import (
+	"math"
+	"slices"
+	"testing"
+)
 
 // A replica with little traffic completes a round by time, but only a good one.
 func TestEvidenceRoundCompletesFewSamplesByTimeOnlyWhenGood(t *testing.T) {
@@ -18,6 +22,10 @@
 			{testStart, sample{testStart, true, slowResponse}, signalPending},
 			{testStart + second, sample{testStart, false, fastResponse}, signalPending},
 		}},
+		{"all samples bad", 0, []step{
+			{testStart, sample{testStart, true, slowResponse}, signalPending},
+			{testStart + 5*second, sample{testStart, true, slowResponse}, signalPending},
+		}},
 		{"all samples good", testStart, []step{
 			{testStart + second, sample{testStart, false, fastResponse}, signalPending},
 			{testStart + 5*second, sample{testStart + second, false, fastResponse}, signalHealthy},
@@ -33,3 +41,36 @@
 		})
 	}
 }
+
+func TestEvidenceRoundSignalsCompleteRound(t *testing.T) {
+	good, slow := sample{testStart, false, fastResponse}, sample{testStart, true, slowResponse}
+	failed, fast := sample{testStart, true, noResponse}, sample{testStart, true, fastResponse}
+	for _, c := range []struct {
+		name    string
+		samples []sample
+		signal  loadSignal
+		factor  float64
+	}{
+		{"good samples", repeat(good, 12), signalHealthy, 1},
+		{"slow samples", repeat(slow, 5), signalOverloaded, 1 - decreaseFactor*5/6},
+		{"slow among good samples", append(repeat(good, 3), repeat(slow, 5)...), signalFaulty, 1 - decreaseFactor*5/8},
+		{"failures without fast answers", repeat(failed, 5), signalOverloaded, 1 - decreaseFactor*5/6},
+		{"late but fast samples", repeat(fast, 5), signalFaulty, 1 - decreaseFactor*5/6},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			round := evidenceRound{allowedBad: maxBadFraction, minDuration: 5 * second}
+			last := len(c.samples) - 1
+			for _, s := range c.samples[:last] {
+				if signal, factor := round.add(testStart, s); signal != signalPending || factor != 1 {
+					t.Fatalf("signal %v and factor %v before the round is complete", signal, factor)
+				}
+			}
+			signal, factor := round.add(testStart, c.samples[last])
+			if signal != c.signal || math.Abs(factor-c.factor) > 1e-9 {
+				t.Errorf("signal %v and factor %v, want %v and %v", signal, factor, c.signal, c.factor)
+			}
+		})
+	}
+}
+
+func repeat(s sample, n int) []sample { return slices.Repeat([]sample{s}, n) }
--- a/balancer/feedback_test.go
+++ b/balancer/feedback_test.go
@@ -60,3 +60,106 @@
 		t.Errorf("%d of %d requests rejected", len(h.retryAfters), len(h.retryAfters)+len(h.sends))
 	}
 }
+
+// newTwoClasses returns a Balancer with a class of low and one of high priority, each with calls in flight.
+func newTwoClasses(t *testing.T) (b *Balancer, low, high *classState) {
+	t.Helper()
+	s := testSettings()
+	s.Classes = s.Classes[:2]
+	s.Classes[1].PriorityWeight = 40
+	b, _ = newWithEndpoints(t, s, 4)
+	for _, class := range b.classes {
+		for range 10 {
+			class.limit.acquire()
+		}
+	}
+	return b, b.classes[0], b.classes[1]
+}
+
+func TestApplyBackpressurePreemptsOnlyNearObjective(t *testing.T) {
+	objective := testSettings().Classes[1].LatencyObjective
+	for _, c := range []struct {
+		name        string
+		latency     Microseconds
+		outstanding bool
+		preempted   bool
+		samples     int // of the class of low priority
+	}{
+		{"ended near its objective", objective * 3 / 4, false, true, 1},
+		{"outstanding near its objective", objective * 3 / 4, true, true, 1},
+		{"ended far from its objective", objective / 4, false, false, 1},
+		{"outstanding far from its objective", objective / 4, true, false, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b, low, _ := newTwoClasses(t)
+			feed := func() {
+				a := &attempt{class: &b.settings.Classes[1], sentAt: testStart, outstanding: c.outstanding}
+				b.applyBackpressure(testStart+c.latency, b.classes[1], a, callResult{slow: true, speed: slowResponse})
+			}
+			feed()
+			if got := low.preemptionEvidence.samples; got != c.samples {
+				t.Errorf("%d samples after one call, want %d", got, c.samples)
+			}
+			for range 4 * minRoundSamples {
+				feed()
+			}
+			if preempted := low.limit.max <= 10; preempted != c.preempted {
+				t.Errorf("limit %v of the class of low priority, want it cut: %v", low.limit.max, c.preempted)
+			}
+		})
+	}
+}
+
+func TestApplyBackpressureTakesOwnZoneOnlyIntoZonePreference(t *testing.T) {
+	for zone, want := range []int{1, 0} {
+		t.Run(fmt.Sprint("zone ", zone), func(t *testing.T) {
+			b, _, _ := newTwoClasses(t)
+			a := &attempt{class: &b.settings.Classes[0], sentAt: testStart, zone: zone}
+			b.applyBackpressure(testStart+1000, b.classes[0], a, callResult{failed: true, speed: noResponse})
+			if got := b.zones.evidence.bad; got != want {
+				t.Errorf("%d bad samples, want %d", got, want)
+			}
+		})
+	}
+}
+
+// A call that was counted as slow while it was outstanding must not count again at its end.
+func TestHandleOutcomeCountsSlowAttemptOnce(t *testing.T) {
+	b, h := newWithEndpoints(t, testSettings(), 4)
+	sendRequest(b, h, testStart, "slow", idempotentClass)
+	now := testStart + testSettings().Classes[idempotentClass].LatencyObjective
+	sendRequest(b, h, now, "other", idempotentClass)
+	if got := b.quotas.evidence.samples; got != 1 {
+		t.Fatalf("%d samples while the call is outstanding, want 1", got)
+	}
+	succeed(b, h, now+1000, "slow", now+1000-testStart)
+	if got := b.quotas.evidence.samples; got != 1 {
+		t.Errorf("%d samples after the call's end, want 1", got)
+	}
+}
+
+func TestSlowThresholdFollowsTierAndMultiplier(t *testing.T) {
+	const objective = 500_000
+	for _, c := range []struct {
+		name                 string
+		tier                 int
+		multiplier, unloaded float64
+		want                 float64
+	}{
+		{"fast without load", 0, 1, 100_000, unloadedSlowFactor * 100_000},
+		{"slow without load", 0, 1, 400_000, slowFraction * objective},
+		{"quotas cut", 0, minUnloadedMultiplier, 100_000, slowFraction * objective},
+		{"behind the front", 1, 1, 100_000, slowFraction * objective},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := testSettings()
+			s.Tier = c.tier
+			b := mustNew(t, s)
+			b.quotas.multiplier = c.multiplier
+			b.classes[0].latency.unloaded = c.unloaded
+			if got := b.slowThreshold(&b.settings.Classes[0], b.classes[0]); got != c.want {
+				t.Errorf("threshold %v, want %v", got, c.want)
+			}
+		})
+	}
+}
--- a/balancer/limit_test.go
+++ b/balancer/limit_test.go
@@ -108,3 +108,18 @@
 		t.Errorf("slow calls: %v, want 5 or less", l.max)
 	}
 }
+
+func TestConcurrencyLimitRisesByPartOfSmallLimit(t *testing.T) {
+	for before, want := range map[float64]float64{1: 1.2, 4: 4.8, 5: 6, 20: 21} {
+		t.Run(fmt.Sprint(before), func(t *testing.T) {
+			l := newLimit()
+			l.max, l.peak = before, 100
+			for range minRoundSamples {
+				l.adjust(&l.evidence, testStart, sample{testStart, false, fastResponse})
+			}
+			if math.Abs(l.max-want) > 1e-9 {
+				t.Errorf("limit %v after a good round, want %v", l.max, want)
+			}
+		})
+	}
+}
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -219,3 +219,83 @@
 		t.Errorf("slow calls: %v, want 0.5 or less", b.quotas.multiplier)
 	}
 }
+
+func TestQuotaMultiplierFollowsSignal(t *testing.T) {
+	signals := map[string]sample{ // a round of them gives the signal
+		"healthy":    {testStart, false, fastResponse},
+		"faulty":     {testStart, true, fastResponse},
+		"overloaded": {testStart, true, slowResponse},
+	}
+	for _, c := range []struct {
+		signal       string
+		before, want float64
+	}{
+		{"healthy", 0.5, 0.5 + quotaRecovery},
+		{"healthy", 0.95, 1},
+		{"healthy", 1.5, 1.5 + quotaIncrease},
+		{"healthy", initialQuotaMultiplier, initialQuotaMultiplier},
+		{"faulty", 0.5, 0.5 + quotaRecovery},
+		{"faulty", 1.5, overloadQuotaMultiplier},
+	} {
+		t.Run(fmt.Sprint(c.signal, " at ", c.before), func(t *testing.T) {
+			q := newTenantQuotas(0)
+			q.multiplier = c.before
+			q.evidence.configure(maxSlowFraction, second)
+			for q.evidence.samples > 0 || q.evidence.start == 0 { // until the first round is complete
+				q.adjust(testStart, signals[c.signal])
+			}
+			if math.Abs(q.multiplier-c.want) > 1e-9 {
+				t.Errorf("multiplier %v, want %v", q.multiplier, c.want)
+			}
+		})
+	}
+	t.Run("overloaded", func(t *testing.T) {
+		q := newTenantQuotas(0)
+		q.evidence.configure(maxSlowFraction, second)
+		for q.evidence.samples > 0 || q.evidence.start == 0 {
+			q.adjust(testStart, signals["overloaded"])
+		}
+		if q.multiplier >= overloadQuotaMultiplier || q.multiplier < minQuotaMultiplier {
+			t.Errorf("multiplier %v, want %v to %v", q.multiplier, minQuotaMultiplier, overloadQuotaMultiplier)
+		}
+	})
+}
+
+// While nothing is slow a tenant may have its part of what this replica gets, which may be more than of its quotas.
+func TestBurstAllowanceFollowsArrivalsUnlessSlow(t *testing.T) {
+	for _, c := range []struct {
+		multiplier float64
+		want       float64
+	}{{1, 1}, {0.9, 0}} {
+		t.Run(fmt.Sprint("multiplier ", c.multiplier), func(t *testing.T) {
+			s := testSettings()
+			s.Replicas = 100
+			s.Tenants = []Tenant{{QuotaFraction: 0.5, RateQuota: 30}, {QuotaFraction: 0.5, RateQuota: 30}}
+			b, _ := newWithEndpoints(t, s, 4)
+			b.quotas.multiplier = c.multiplier
+			now := testStart
+			for i := range 200 { // ten times the quotas, from both tenants alike
+				now += second / 6
+				b.quotas.recordArrival(now, i%2)
+			}
+			if got := b.quotas.burstAllowance(now, b.quotas.tenants[0]); got != c.want {
+				t.Errorf("burst allowance %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+func TestTenantQuotaCountsNoLongerThanReplicaRuns(t *testing.T) {
+	const rate = 10
+	var quota tenantQuota
+	for range 15 {
+		quota.admitted.add(testStart)
+	}
+	// After 1.5 s the window is 2 s long, but only 15 requests are within the rate.
+	if now := testStart + 3*second/2; quota.admits(now, testStart, rate, 0, 0) {
+		t.Error("admits a 16th request after 1.5 s at 10 a second")
+	}
+	if now := testStart + 8*second/5; !quota.admits(now, testStart, rate, 0, 0) {
+		t.Error("rejects a 16th request after 1.6 s at 10 a second")
+	}
+}
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -214,3 +214,38 @@
 		t.Error("no retry after 30 s")
 	}
 }
+
+// A retry at the far edge of the window counts, a request there does not.
+func TestRetryBudgetIsExactAtEdgeOfWindow(t *testing.T) {
+	s := &Settings{RetryBudgetWindow: 5 * second, RetryBudgetMin: 1, RetryBudgetRatio: 1}
+	for _, c := range []struct {
+		name              string
+		requests, retries timeline
+		exhausted         bool
+	}{
+		{"request inside", timeline{testStart + 1}, timeline{testStart + 1}, false},
+		{"request at the edge", timeline{testStart}, timeline{testStart + 1}, true},
+		{"retry at the edge", nil, timeline{testStart}, true},
+		{"retry outside", nil, timeline{testStart - 1}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			budget := retryBudget{requests: c.requests, retries: c.retries}
+			if got := budget.exhausted(testStart+5*second, s); got != c.exhausted {
+				t.Errorf("exhausted is %v, want %v", got, c.exhausted)
+			}
+		})
+	}
+}
+
+func TestHandleOutcomeRetriesAtUntriedEndpoint(t *testing.T) {
+	for i := range 50 {
+		b, h := newWithEndpoints(t, testSettings(), 2)
+		id := fmt.Sprint(i)
+		countSends(b, testStart, i) // so that draws differ
+		sendRequest(b, h, testStart+second, id, idempotentClass)
+		b.HandleOutcome(testStart+second+1000, h, Outcome{ID: id, Status: Rejected, Latency: 1000})
+		if len(h.sends) != 2 || h.sends[0].endpoint == h.sends[1].endpoint {
+			t.Fatalf("request %d: %q, want a retry at the other endpoint", i, h.actions)
+		}
+	}
+}
