--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -82,10 +82,10 @@
 // run handles events until the context ends, and then waits until all attempts have ended.
 func (l *eventLoop) run(ctx context.Context) {
 	defer l.pool.Close()
-	defer close(l.done)
-	attempts, cancel := context.WithCancel(ctx)
 	defer l.attempts.Wait()
+	attempts, cancel := context.WithCancel(ctx)
 	defer cancel()
+	defer close(l.done) // before the wait for attempts: their events are dropped from here on
 	l.attemptsContext = attempts
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -72,3 +72,23 @@
 		t.Errorf("left behind: %+v", s)
 	}
 }
+
+// When the loop ends nobody takes events any more; those that attempts still post must not keep it from ending.
+func TestLoopEndsWithMoreAttemptsInFlightThanBufferedEvents(t *testing.T) {
+	p, _ := startServing(t, backendtest.Respond(backendtest.OK, true))
+	started := make(chan struct{})
+	p.onLoop(func() {
+		for range 2 * eventBuffer {
+			p.loop.attempts.Go(func() {
+				<-p.loop.attemptsContext.Done()
+				p.loop.post(requestCanceled{downstream.NewRequest()})
+			})
+		}
+		close(started)
+	})
+	backendtest.Receive(t, "start of the attempts", started)
+	p.stop()
+	if err := backendtest.Receive(t, "end of Run", p.done); err != nil {
+		t.Error(err)
+	}
+}
