--- a/balancer/crosszone.go
+++ b/balancer/crosszone.go
@@ -1,19 +1,19 @@
 package balancer
 
 const (
-	initialCrossZoneWeight = 0.3  // at a fresh replica of the front, which does not know how its zone copes
-	minCrossZoneWeight     = 0.02 // while the own zone copes; at a fresh replica behind the front
-	crossZoneIncrease      = 0.15 // added after a round in which the own zone was slow
-	crossZoneDecay         = 0.9  // factor after a good round
+	initialCrossZoneWeight = 0.3  // initially at the front tier, when it is unknown whether the zone copes
+	minCrossZoneWeight     = 0.02 // while the own zone copes; also initially behind the front tier
+	crossZoneIncrease      = 0.15 // added after a round in which the own zone was slow or failing
+	crossZoneDecay         = 0.9  // multiplier after a healthy round
 )
 
-// zonePreference keeps calls in the proxy's zone while that copes.
+// zonePreference keeps calls in the proxy's own zone while that zone copes with its load.
 type zonePreference struct {
-	crossZoneWeight float64 // of endpoints in other zones, from minCrossZoneWeight to 1
+	crossZoneWeight float64 // weight factor of endpoints in other zones, from minCrossZoneWeight to 1
 	evidence        evidenceRound
 }
 
-// newZonePreference returns that of a fresh replica.
+// newZonePreference returns the initial zone preference of a proxy in the given tier.
 func newZonePreference(tier int) zonePreference {
 	if tier > 0 {
 		return zonePreference{crossZoneWeight: minCrossZoneWeight}
@@ -21,7 +21,7 @@
 	return zonePreference{crossZoneWeight: initialCrossZoneWeight}
 }
 
-// adjust takes the sample of a call within the zone, and changes the weight by its round's signal.
+// adjust adds the sample of a call within the own zone, and changes the weight when that completes a round.
 func (z *zonePreference) adjust(now Microseconds, s sample) {
 	switch signal, _ := z.evidence.add(now, s); signal {
 	case signalPending:
--- a/balancer/crosszone_test.go
+++ b/balancer/crosszone_test.go
@@ -10,20 +10,22 @@
 	own, other, class := b.endpoints.byID["s0"], b.endpoints.byID["s2"], b.classes[0]
 	ownWeight := b.weight(testStart, own, class)
 	now := testStart
-	feed := func(rounds int, slow bool) {
+	addRounds := func(rounds int, slow bool) {
 		for range rounds * minRoundSamples {
 			now++
 			a := &attempt{class: &b.settings.Classes[0], sentAt: now, zone: b.settings.Zone}
 			b.applyBackpressure(now, class, a, callResult{slow: slow, speed: speedOf(false, !slow)})
 		}
 	}
-	feed(60, false)
+	addRounds(60, false)
 	if w := b.weight(testStart, other, class); w > ownWeight/10 {
-		t.Errorf("with the own zone calm, another one weighs %.3f of it", w/ownWeight)
+		t.Errorf("while the own zone is healthy, another zone has %.3f of its weight, want at most 0.1",
+			w/ownWeight)
 	}
-	feed(20, true)
+	addRounds(20, true)
 	if w := b.weight(testStart, other, class); w < ownWeight/2 {
-		t.Errorf("with the own zone slow, another one weighs %.3f of it", w/ownWeight)
+		t.Errorf("while the own zone is slow, another zone has %.3f of its weight, want at least 0.5",
+			w/ownWeight)
 	}
 }
 
--- a/balancer/detach.go
+++ b/balancer/detach.go
@@ -1,20 +1,20 @@
 package balancer
 
-// Detach takes an endpoint out of use until Attach, for operators. What is in flight goes on. Updates of the
-// endpoint list do not end it, and the list need not name the endpoint.
+// Detach lets operators take an endpoint out of use until they call Attach. Attempts in flight continue.
+// Updates of the endpoint list do not end the detachment, and the endpoint need not be listed.
 func (b *Balancer) Detach(id string) {
 	b.endpoints.detached[id] = true
 	b.endpoints.refresh()
 }
 
-// Attach ends Detach. The endpoint may have restarted unnoticed, so it counts as one that starts now. An
-// endpoint that is not detached stays as it is.
+// Attach puts a detached endpoint back into use. The endpoint may have restarted unnoticed, so it is treated
+// as one that starts now. Attach has no effect on an endpoint that is not detached.
 func (b *Balancer) Attach(now Microseconds, id string) {
 	b.endpoints.attach(now, id)
 	b.endpoints.refresh()
 }
 
-// attach lets a detached endpoint serve again.
+// attach removes an endpoint from the detached ones and resets its learned state.
 func (l *endpointList) attach(now Microseconds, id string) {
 	if !l.detached[id] {
 		return
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -1,53 +1,54 @@
 package balancer
 
-// endpoint is an entry of the endpoint list with what was learned of it.
+// endpoint is an entry of the endpoint list and the learned state of the endpoint.
 type endpoint struct {
 	Endpoint
 	ringPosition          uint64
-	inFlight              int              // attempts of this replica without outcome
-	relativeLatency       float64          // running latency of its successes relative to the class's mean
-	overall               endpointHealth   // for all classes
-	perClass              []endpointHealth // by classState.slot
+	inFlight              int              // attempts of this replica that have not ended
+	relativeLatency       float64          // moving average over successes, relative to the class's mean
+	overall               endpointHealth   // applies to all classes
+	perClass              []endpointHealth // indexed by classState.slot
 	attachedAt            Microseconds     // when operators last attached it; 0: never
-	reintroductionPending bool             // it has got nothing since then
+	reintroductionPending bool             // it has received no call since attachedAt
 }
 
-// reset drops what was learned of an endpoint.
+// reset discards the learned state of an endpoint.
 func (ep *endpoint) reset(classSlots int) {
 	ep.relativeLatency, ep.overall, ep.perClass = 1, endpointHealth{factor: 1}, nil
 	ep.reserveSlots(classSlots)
 }
 
-// reserveSlots extends perClass to that many slots.
+// reserveSlots extends perClass to at least classSlots entries.
 func (ep *endpoint) reserveSlots(classSlots int) {
 	for len(ep.perClass) < classSlots {
 		ep.perClass = append(ep.perClass, endpointHealth{factor: 1})
 	}
 }
 
-// classHealth is the endpoint's health for a class. It keeps none of a class that the settings no longer
-// have.
+// classHealth returns the endpoint's health for a class. For a class that is no longer in the settings, it
+// returns a temporary value that is not stored.
 func (ep *endpoint) classHealth(class *classState) *endpointHealth {
 	if class.slot == noSlot {
 		return &endpointHealth{factor: 1}
 	}
-	ep.reserveSlots(class.slot + 1) // an endpoint off the list was not extended when the class was added
+	ep.reserveSlots(class.slot + 1) // an unlisted endpoint got no slot when the class was added
 	return &ep.perClass[class.slot]
 }
 
-// healthFactor is the endpoint's health for requests of a class, over all its failures.
+// healthFactor returns the endpoint's health for requests of a class: its overall health times that for the
+// class.
 func (ep *endpoint) healthFactor(class *classState) float64 {
 	return ep.overall.factor * ep.classHealth(class).factor
 }
 
-// endpointList holds the endpoints that the endpoint list names, and which of them operators have detached.
+// endpointList holds the endpoints of the endpoint list, and the IDs that operators have detached.
 type endpointList struct {
 	byID             map[string]*endpoint
 	all              []*endpoint             // in order of first listing
-	ready            []*endpoint             // those that new attempts may go to, this replica's subset first
-	detached         map[string]bool         // by operators, listed or not
-	attachedUnlisted map[string]Microseconds // attached by operators while not listed, and when
-	classSlots       int                     // classState.slot is less
+	ready            []*endpoint             // those eligible for new attempts, this replica's subset first
+	detached         map[string]bool         // IDs detached by operators, listed or not
+	attachedUnlisted map[string]Microseconds // when operators attached an unlisted ID
+	classSlots       int                     // every classState.slot is less than this
 	replicaIndex     int                     // Settings.ReplicaIndex
 }
 
@@ -64,13 +65,14 @@
 		}
 	}
 	for _, e := range entries {
-		l.put(e)
+		l.applyEntry(e)
 	}
 	l.refresh()
 }
 
-// put applies one entry. What was learned of an endpoint is dropped when its process has restarted.
-func (l *endpointList) put(e Endpoint) {
+// applyEntry adds or changes one endpoint. It discards the endpoint's learned state if the endpoint's process
+// has restarted.
+func (l *endpointList) applyEntry(e Endpoint) {
 	ep := l.byID[e.ID]
 	if ep == nil {
 		attachedAt := l.attachedUnlisted[e.ID]
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -23,7 +23,7 @@
 				}
 			}
 			if len(h.sends) < 100 {
-				t.Fatalf("only %d sends", len(h.sends))
+				t.Fatalf("%d sends, want at least 100", len(h.sends))
 			}
 		})
 	}
@@ -48,21 +48,21 @@
 	b, h := mustNew(t, testSettings()), &recorder{}
 	sendRequest(b, h, testStart, "a", notIdempotentClass)
 	if h.last() != "reject a" {
-		t.Errorf("without a list: %q", h.last())
+		t.Errorf("without an endpoint list: last action %q, want a rejection", h.last())
 	}
 	list := readyEndpoints(1)
 	list[0].State = Draining
 	b.UpdateEndpoints(testStart, h, FullUpdate, list)
 	sendRequest(b, h, testStart, "b", idempotentClass)
 	if h.last() != "reject b" {
-		t.Errorf("with all endpoints draining: %q", h.last())
+		t.Errorf("with all endpoints draining: last action %q, want a rejection", h.last())
 	}
 }
 
-func TestDetachOutlastsUpdates(t *testing.T) {
+func TestDetachSurvivesUpdates(t *testing.T) {
 	b, h := newWithEndpoints(t, testSettings(), 4)
 	if counts := countSends(b, testStart, 400); counts["s1"] == 0 {
-		t.Fatalf("not in use before Detach: %v", counts)
+		t.Fatalf("no attempts were sent to s1 before Detach: %v", counts)
 	}
 	b.Detach("s1")
 	b.Detach("s1")
@@ -80,13 +80,13 @@
 		t.Run(name, func(t *testing.T) {
 			update()
 			if n := countSends(b, testStart, 400)["s1"]; n != 0 {
-				t.Errorf("%d attempts at the detached endpoint", n)
+				t.Errorf("%d attempts were sent to the detached endpoint, want 0", n)
 			}
 		})
 	}
 	b.Attach(testStart, "s1")
 	if counts := countSends(b, testStart, 4000); counts["s1"] == 0 {
-		t.Errorf("no attempt after Attach: %v", counts)
+		t.Errorf("no attempts were sent to s1 after Attach: %v", counts)
 	}
 }
 
@@ -95,7 +95,7 @@
 	b.Detach("s1")
 	b.UpdateEndpoints(testStart, h, FullUpdate, readyEndpoints(2))
 	if counts := countSends(b, testStart, 100); counts["s1"] != 0 || counts["s0"] != 100 {
-		t.Errorf("attempts: %v, want all 100 at s0", counts)
+		t.Errorf("attempts by endpoint: %v, want 100 at s0 only", counts)
 	}
 	b.Attach(testStart, "s1")
 	b.Attach(testStart, "unknown")
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -1,6 +1,6 @@
 package balancer
 
-// EndpointState is what the endpoint list says of an endpoint.
+// EndpointState is the state of an endpoint in the endpoint list.
 type EndpointState int
 
 // The states of an endpoint.
@@ -16,19 +16,19 @@
 	Zone      int
 	Cell      int
 	State     EndpointState
-	Capacity  float64      // relative to other endpoints, with Settings.CapacityHints
+	Capacity  float64      // relative to other endpoints; used with Settings.CapacityHints
 	StartedAt Microseconds // when its process last started; 0: long ago
 }
 
-// UpdateKind is what an update of the endpoint list holds.
+// UpdateKind states what an update of the endpoint list contains.
 type UpdateKind int
 
 // The kinds of update.
 const (
 	IncrementalUpdate UpdateKind = iota // changed entries only
 	FullUpdate                          // the complete list
-	CachedUpdate                        // the complete list as last known, possibly stale
-	FailedUpdate                        // a poll or the subscription failed; the old list stands
+	CachedUpdate                        // the last known complete list, possibly stale
+	FailedUpdate                        // a poll or the subscription failed; the old list stays in use
 )
 
 // Request is a request that a client has sent to this proxy.
@@ -36,39 +36,39 @@
 	ID       string
 	Class    int          // index into Settings.Classes
 	Tenant   int          // index into Settings.Tenants; out of range: no tenant
-	Key      string       // the key by which Class.OrderedByKey orders; may be empty
-	Deadline Microseconds // when the client abandons it
+	Key      string       // the ordering key for Class.OrderedByKey; may be empty
+	Deadline Microseconds // when the client stops waiting
 
-	// ClientConnections is how many connections clients have where they can open no more, and 0 where they
-	// can. IdleConnections is how many of these carry no request.
+	// ClientConnections is the number of open client connections if clients cannot open any more, and 0 if
+	// they can. IdleConnections is how many of these connections carry no request.
 	ClientConnections, IdleConnections int
-	// Streaming: the body is still being received and is forwarded meanwhile. No endpoint can begin before
-	// RequestUploaded.
+	// Streaming means that the body is forwarded while it is still being received. No endpoint can start
+	// to process the request before RequestUploaded.
 	Streaming bool
 }
 
-// Status is how an attempt ended.
+// Status is the result of an attempt.
 type Status int
 
-// The outcomes of an attempt. ConnectFailed and NotAttempted prove that it never ran, and so does Rejected
-// unless Settings.RejectedMayRun is set.
+// The results of an attempt. ConnectFailed and NotAttempted prove that it never ran. So does Rejected, unless
+// Settings.RejectedMayRun is set.
 const (
 	OK            Status = iota
-	Error                // the endpoint answered with a failure
-	Rejected             // the endpoint refused it for lack of capacity
-	TimedOut             // no answer within the time-out
-	ConnectFailed        // no connection
+	Error                // the endpoint responded with a failure
+	Rejected             // the endpoint refused the attempt for lack of capacity
+	TimedOut             // no response within the timeout
+	ConnectFailed        // no connection could be established
 	Reset                // the connection broke
-	Cancelled            // the proxy gave it up
-	NotAttempted         // nothing of it was sent
+	Cancelled            // the proxy abandoned the attempt
+	NotAttempted         // nothing was sent
 )
 
-// Outcome is the end of an attempt; each Host.Send gets exactly one.
+// Outcome is the end of an attempt. Each Host.Send is followed by exactly one Outcome.
 type Outcome struct {
-	ID           string // of the request
+	ID           string // the request's ID
 	Attempt      int    // 0 for the first Send of a request
 	Status       Status
 	Latency      Microseconds // from the send to the end
-	RequestDone  bool         // the request is over; otherwise the client still waits for its answer
-	BodyConsumed bool         // a part of the body is gone, so that it cannot be sent again
+	RequestDone  bool         // the request has ended; otherwise the client still waits for a response
+	BodyConsumed bool         // part of the body is no longer available, so it cannot be sent again
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -6,7 +6,7 @@
 	"baylock/balancer"
 )
 
-// printer is a Host that prints its calls; a proxy would carry them out.
+// printer is a Host that prints the calls that it receives. A real proxy would carry them out.
 type printer struct{}
 
 func (printer) Send(id, endpoint string, timeout, _ balancer.Microseconds) {
@@ -18,8 +18,8 @@
 func (printer) Subscribe()                                         { fmt.Println("subscribe") }
 func (printer) Log(line string)                                    { fmt.Println("log:", line) }
 
-// A Balancer with two endpoints takes a request. The first endpoint rejects it, so it is retried at the other one, which
-// answers.
+// A Balancer with two endpoints handles a request. The first endpoint rejects it, so the Balancer retries it
+// at the other one, which responds.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Replicas: 1, Zones: 1, MaxAttempts: 3, SlowStartCapacity: 0.2, SlowStartDuration: 20_000_000,
@@ -37,7 +37,7 @@
 	b.HandleRequest(now, h, balancer.Request{ID: "r1", Deadline: now + 1_500_000})
 	b.HandleOutcome(now+1000, h, balancer.Outcome{ID: "r1", Attempt: 0, Status: balancer.Rejected, Latency: 1000})
 	b.HandleOutcome(now+90_000, h, balancer.Outcome{ID: "r1", Attempt: 1, Status: balancer.OK, Latency: 89_000, RequestDone: true})
-	b.HandleRequest(now+90_000, h, balancer.Request{ID: "r2", Deadline: now + 91_000}) // no time left for an answer
+	b.HandleRequest(now+90_000, h, balancer.Request{ID: "r2", Deadline: now + 91_000}) // no time left
 	// Output:
 	// send r1 to b for 500000
 	// send r1 to a for 499000
--- a/balancer/handover.go
+++ b/balancer/handover.go
@@ -2,36 +2,36 @@
 
 import "math"
 
-// LearnedState is what a Balancer has learned, for the one of the process that takes its place. It is stored
-// as JSON, whose keys are those of earlier versions.
+// LearnedState is the learned state of a Balancer, handed over to the process that replaces its own. It is
+// stored as JSON with the keys that earlier versions used.
 type LearnedState struct {
-	TierLimit       float64                    `json:"tier"`  // calls in flight
-	QuotaMultiplier float64                    `json:"share"` // multiple of its quota that a tenant may pass
-	CrossZoneWeight float64                    `json:"spill"` // of endpoints in other zones
-	ErrorRate       float64                    `json:"errs"`  // from 0 to 1
+	TierLimit       float64                    `json:"tier"`  // maximum number of calls in flight
+	QuotaMultiplier float64                    `json:"share"` // multiple of its quota that a tenant may send
+	CrossZoneWeight float64                    `json:"spill"` // weight factor of endpoints in other zones
+	ErrorRate       float64                    `json:"errs"`  // fraction of failed calls, from 0 to 1
 	Classes         []LearnedClass             `json:"classes"`
 	Endpoints       map[string]LearnedEndpoint `json:"servers"` // by ID
 }
 
-// LearnedClass is what was learned of a class.
+// LearnedClass is the learned state of a class.
 type LearnedClass struct {
 	Name            string  `json:"name,omitempty"`
-	Limit           float64 `json:"count"` // calls in flight
+	Limit           float64 `json:"count"` // maximum number of calls in flight
 	MeanLatency     float64 `json:"mean"`  // microseconds
 	UnloadedLatency float64 `json:"base"`  // microseconds
-	Successes       float64 `json:"seen"`
-	ErrorRate       float64 `json:"errs"` // from 0 to 1
+	Successes       float64 `json:"seen"`  // number of successful calls
+	ErrorRate       float64 `json:"errs"`  // fraction of failed calls, from 0 to 1
 }
 
-// LearnedEndpoint is what was learned of an endpoint's process.
+// LearnedEndpoint is the learned state of an endpoint's process.
 type LearnedEndpoint struct {
 	StartedAt       Microseconds `json:"launched"` // identifies the process
-	RelativeLatency float64      `json:"slowness"` // to the mean of all endpoints
-	Health          float64      `json:"left"`     // factor of its weight, for all classes
-	ClassHealth     []float64    `json:"classes"`  // the same for each class, in the order of LearnedState.Classes
+	RelativeLatency float64      `json:"slowness"` // relative to the class's mean over all endpoints
+	Health          float64      `json:"left"`     // multiplies its weight for all classes
+	ClassHealth     []float64    `json:"classes"`  // the same by class, in the order of LearnedState.Classes
 }
 
-// ExportState returns what was learned so far.
+// ExportState returns the state that the Balancer has learned so far.
 func (b *Balancer) ExportState() LearnedState {
 	learned := LearnedState{TierLimit: b.tierLimit.max, QuotaMultiplier: b.quotas.multiplier,
 		CrossZoneWeight: b.zones.crossZoneWeight, ErrorRate: b.outliers.errorRate,
@@ -47,23 +47,24 @@
 		})
 	}
 	for _, ep := range b.endpoints.all {
-		from := LearnedEndpoint{StartedAt: ep.StartedAt, RelativeLatency: ep.relativeLatency, Health: ep.overall.factor}
+		exported := LearnedEndpoint{StartedAt: ep.StartedAt, RelativeLatency: ep.relativeLatency,
+			Health: ep.overall.factor}
 		for _, class := range b.classes {
-			from.ClassHealth = append(from.ClassHealth, ep.classHealth(class).factor)
+			exported.ClassHealth = append(exported.ClassHealth, ep.classHealth(class).factor)
 		}
-		learned.Endpoints[ep.ID] = from
+		learned.Endpoints[ep.ID] = exported
 	}
 	return learned
 }
 
-// ImportState has a new Balancer begin where another stands. Values out of range are left out one by one, and
-// so are endpoints that have restarted since. Classes are identified by their names, since the other Balancer
-// may have other settings. What the other one has in flight is not counted here.
+// ImportState initializes a new Balancer with the state that another one has exported. It skips each value
+// that is out of range, and endpoints that have restarted since. Classes are identified by their names, since
+// the other Balancer may have different settings. The other Balancer's calls in flight are not counted.
 func (b *Balancer) ImportState(learned LearnedState) {
-	setInRange(&b.tierLimit.max, learned.TierLimit, b.tierLimit.floor, initialLimit)
-	setInRange(&b.quotas.multiplier, learned.QuotaMultiplier, minQuotaMultiplier, b.quotas.maxMultiplier)
-	setInRange(&b.zones.crossZoneWeight, learned.CrossZoneWeight, minCrossZoneWeight, 1)
-	setInRange(&b.outliers.errorRate, learned.ErrorRate, 0, 1)
+	setIfInRange(&b.tierLimit.max, learned.TierLimit, b.tierLimit.floor, initialLimit)
+	setIfInRange(&b.quotas.multiplier, learned.QuotaMultiplier, minQuotaMultiplier, b.quotas.maxMultiplier)
+	setIfInRange(&b.zones.crossZoneWeight, learned.CrossZoneWeight, minCrossZoneWeight, 1)
+	setIfInRange(&b.outliers.errorRate, learned.ErrorRate, 0, 1)
 	var names []string
 	for _, class := range learned.Classes {
 		names = append(names, class.Name)
@@ -83,27 +84,28 @@
 }
 
 func (c *classState) importLearned(from *LearnedClass) {
-	setInRange(&c.limit.max, from.Limit, c.limit.floor, initialLimit)
-	setInRange(&c.latency.mean, from.MeanLatency, 1, math.MaxInt32)
-	setInRange(&c.latency.unloaded, from.UnloadedLatency, 1, c.latency.mean)
-	setInRange(&c.latency.successes, from.Successes, 0, math.MaxInt32)
-	setInRange(&c.errorRate, from.ErrorRate, 0, 1)
+	setIfInRange(&c.limit.max, from.Limit, c.limit.floor, initialLimit)
+	setIfInRange(&c.latency.mean, from.MeanLatency, 1, math.MaxInt32)
+	setIfInRange(&c.latency.unloaded, from.UnloadedLatency, 1, c.latency.mean)
+	setIfInRange(&c.latency.successes, from.Successes, 0, math.MaxInt32)
+	setIfInRange(&c.errorRate, from.ErrorRate, 0, 1)
 }
 
-// importEndpoint takes what was learned of an endpoint; classIndexes are the classes' indexes in it, or -1.
+// importEndpoint imports the learned state of an endpoint. For each class of the settings, classIndexes holds
+// its index in the imported state, or -1.
 func (b *Balancer) importEndpoint(ep *endpoint, from *LearnedEndpoint, classIndexes []int) {
-	setInRange(&ep.relativeLatency, from.RelativeLatency, 1/maxRelativeLatency, maxRelativeLatency)
-	setInRange(&ep.overall.factor, from.Health, minHealth, 1)
+	setIfInRange(&ep.relativeLatency, from.RelativeLatency, 1/maxRelativeLatency, maxRelativeLatency)
+	setIfInRange(&ep.overall.factor, from.Health, minHealth, 1)
 	for i, index := range classIndexes {
 		if index >= 0 {
-			setInRange(&ep.classHealth(b.classes[i]).factor, from.ClassHealth[index], minHealth, 1)
+			setIfInRange(&ep.classHealth(b.classes[i]).factor, from.ClassHealth[index], minHealth, 1)
 		}
 	}
 }
 
-// setInRange sets a figure to a value from least to most, and leaves it alone for others and NaN.
-func setInRange(figure *float64, value, least, most float64) {
-	if value >= least && value <= most {
-		*figure = value
+// setIfInRange sets target to value if that is between lower and upper. Other values and NaN are ignored.
+func setIfInRange(target *float64, value, lower, upper float64) {
+	if value >= lower && value <= upper {
+		*target = value
 	}
 }
--- a/balancer/handover_format_test.go
+++ b/balancer/handover_format_test.go
@@ -8,21 +8,21 @@
 	"testing"
 )
 
-// earlierHandover holds what the program of commit d9ac8c1 exported: five classes, three endpoints, of which s2 had just
-// started.
-const earlierHandover = "testdata/handover-d9ac8c1.json"
+// earlierHandoverFile contains the state exported by the version at commit d9ac8c1, with five classes and
+// three endpoints, of which s2 had just started.
+const earlierHandoverFile = "testdata/handover-d9ac8c1.json"
 
-func readEarlierHandover(t *testing.T) []byte {
+func readEarlierHandoverFile(t *testing.T) []byte {
 	t.Helper()
-	data, err := os.ReadFile(earlierHandover)
+	data, err := os.ReadFile(earlierHandoverFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return data
 }
 
-// newLikeEarlier returns a Balancer with the classes and endpoints of earlierHandover.
-func newLikeEarlier(t *testing.T) *Balancer {
+// newBalancerForEarlierHandover returns a Balancer with the classes and endpoints of earlierHandoverFile.
+func newBalancerForEarlierHandover(t *testing.T) *Balancer {
 	t.Helper()
 	b, h := mustNew(t, named(testSettings())), &recorder{}
 	list := readyEndpoints(3)
@@ -33,10 +33,10 @@
 
 func TestImportStateReadsEarlierVersion(t *testing.T) {
 	var learned LearnedState
-	if err := json.Unmarshal(readEarlierHandover(t), &learned); err != nil {
+	if err := json.Unmarshal(readEarlierHandoverFile(t), &learned); err != nil {
 		t.Fatal(err)
 	}
-	b := newLikeEarlier(t)
+	b := newBalancerForEarlierHandover(t)
 	b.ImportState(learned)
 	want := LearnedState{
 		TierLimit: 5.5, QuotaMultiplier: 0.9000000000000001, CrossZoneWeight: 0.9804000000000002, ErrorRate: 0.16210384490695212,
@@ -60,8 +60,8 @@
 }
 
 func TestExportStateKeepsJSONKeys(t *testing.T) {
-	earlier := readEarlierHandover(t)
-	data, err := json.Marshal(newLikeEarlier(t).ExportState())
+	earlier := readEarlierHandoverFile(t)
+	data, err := json.Marshal(newBalancerForEarlierHandover(t).ExportState())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,11 +74,13 @@
 		t.Fatal(err)
 	}
 	if data, err = json.Marshal(learned); err != nil || string(data) != string(earlier) {
-		t.Errorf("the earlier state written again (error %v):\n got %s\nwant %s", err, data, earlier)
+		t.Errorf("the earlier state after decoding and encoding (error %v):\n got %s\nwant %s",
+			err, data, earlier)
 	}
 }
 
-// keyPaths returns the paths of all keys of a JSON value, sorted; elements of arrays share the path of the array.
+// keyPaths returns the sorted paths of all keys in a JSON value. Array elements share the path of their
+// array.
 func keyPaths(t *testing.T, data []byte) []string {
 	t.Helper()
 	var value any
--- a/balancer/handover_test.go
+++ b/balancer/handover_test.go
@@ -25,12 +25,13 @@
 	b.tierLimit.max = 1
 	sendRequest(b, h, testStart, "a", 0)
 	if sendRequest(b, h, testStart, "b", 0); h.last() != "reject b" {
-		t.Errorf("a request over the limit: %q, want a rejection", h.last())
+		t.Errorf("last action for a request over the limit is %q, want a rejection", h.last())
 	}
 }
 
-// Invalid values are left out one by one, and so is an endpoint that has restarted. A 0 is valid in error rates alone.
-func TestImportStateLeavesOutInvalidValues(t *testing.T) {
+// ImportState skips invalid values one by one, and endpoints that have restarted. 0 is valid for error rates
+// only.
+func TestImportStateSkipsInvalidValues(t *testing.T) {
 	b, _ := newWithEndpoints(t, testSettings(), 2)
 	fresh := b.ExportState()
 	nan := math.NaN()
@@ -41,10 +42,11 @@
 	}{
 		{"zero", LearnedState{}},
 		{"out of range", LearnedState{TierLimit: -1, QuotaMultiplier: 1e9, CrossZoneWeight: nan, ErrorRate: 2}},
-		{"of endpoints", LearnedState{TierLimit: math.Inf(1), Classes: make([]LearnedClass, classes), Endpoints: map[string]LearnedEndpoint{
-			"s0": {StartedAt: 5, RelativeLatency: 3, Health: 0.1, ClassHealth: make([]float64, classes)},
-			"s1": {RelativeLatency: -1, Health: nan, ClassHealth: make([]float64, classes)},
-		}}},
+		{"invalid endpoints", LearnedState{TierLimit: math.Inf(1), Classes: make([]LearnedClass, classes),
+			Endpoints: map[string]LearnedEndpoint{
+				"s0": {StartedAt: 5, RelativeLatency: 3, Health: 0.1, ClassHealth: make([]float64, classes)},
+				"s1": {RelativeLatency: -1, Health: nan, ClassHealth: make([]float64, classes)},
+			}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b.ImportState(c.learned)
@@ -55,7 +57,7 @@
 	}
 }
 
-// The configuration may change between the start of the old process and that of the new one.
+// The configuration may have changed between the starts of the old and the new process.
 func TestImportStateMatchesClassesByName(t *testing.T) {
 	s := named(testSettings())
 	old, _ := newWithEndpoints(t, s, 2)
@@ -78,13 +80,14 @@
 	}
 }
 
-// Earlier versions exported no names.
+// Earlier versions did not export class names.
 func TestImportStateMatchesUnnamedClassesByIndex(t *testing.T) {
 	old, _ := newWithEndpoints(t, testSettings(), 2)
 	old.classes[1].limit.max = 30
 	b, _ := newWithEndpoints(t, named(testSettings()), 2)
 	b.ImportState(old.ExportState())
 	if b.classes[1].limit.max != 30 || b.classes[0].limit.max != initialLimit {
-		t.Errorf("limits %v and %v, want %v and 30", b.classes[0].limit.max, b.classes[1].limit.max, initialLimit)
+		t.Errorf("limits are %v and %v, want %v and 30",
+			b.classes[0].limit.max, b.classes[1].limit.max, initialLimit)
 	}
 }
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -1,21 +1,21 @@
 package balancer
 
 const (
-	minHealth           = 0.05 // weight left to an outlier, for trials
-	failureHealthFactor = 0.3  // part of the health that a failure of the endpoint's own leaves
-	healthGain          = 0.25 // part of the lost health that a success restores; gain of the error rate
-	outlierErrorRatio   = 2.0  // an endpoint is an outlier when it fails this many times as often as all
-	errorRateGain       = 0.05 // of the running error rates over all endpoints
+	minHealth           = 0.05 // an outlier keeps this weight factor, so that some calls still test it
+	failureHealthFactor = 0.3  // multiplies the health after a failure caused by the endpoint
+	healthGain          = 0.25 // fraction of lost health that a success restores; gain of the error rate
+	outlierErrorRatio   = 2.0  // an endpoint is an outlier above this multiple of the average error rate
+	errorRateGain       = 0.05 // of the moving averages of the error rates over all endpoints
 )
 
-// endpointHealth is what failures leave of an endpoint's weight.
+// endpointHealth tracks an endpoint's failures and the weight factor that results from them.
 type endpointHealth struct {
-	factor    float64 // of the weight, from minHealth to 1
-	errorRate float64 // running fraction of failed calls
+	factor    float64 // multiplies the weight; from minHealth to 1
+	errorRate float64 // moving average of the fraction of failed calls
 }
 
-// record takes a result, failure being 0 or 1. Where the error rate is over the usual one, a failure costs
-// health, and record returns true: it is the endpoint's own.
+// record adds a result; failure is 0 or 1. A failure while the endpoint's error rate exceeds usualRate is
+// attributed to the endpoint: it reduces the health, and record returns true.
 func (h *endpointHealth) record(failure, usualRate float64) (ownFault bool) {
 	h.errorRate += (failure - h.errorRate) * healthGain
 	if failure == 0 {
@@ -26,16 +26,17 @@
 	return ownFault
 }
 
-// outlierDetector finds endpoints that fail more often than the others.
+// outlierDetector detects endpoints that fail more often than the others.
 type outlierDetector struct {
-	errorRate float64 // running fraction of failed calls, over all endpoints
+	errorRate float64 // moving average of the fraction of failed calls, over all endpoints
 }
 
-// record updates an endpoint's health and reports whether a failure is its own. A failure that its peers show
-// as well comes from a deeper tier and counts against the concurrency limits; a failed connection is always
-// the endpoint's own, even when a complete zone is lost. An error that was answered concerns its class
-// only, a missing answer all classes. Rejected costs no health: the limits answer to it, and the calls that
-// the endpoint would have had must not crowd its peers.
+// record updates an endpoint's health and reports whether a failure was caused by the endpoint itself. A
+// failure that its peers have as well comes from a deeper tier and counts against the concurrency limits. A
+// failed connection is always attributed to the endpoint, even if a complete zone is lost. An error response
+// affects the health for its class only, a missing response that for all classes. Rejected does not reduce
+// the health: the concurrency limits react to it, and shifting the endpoint's calls to its peers could
+// overload them.
 func (d *outlierDetector) record(ep *endpoint, class *classState, status Status) (ownFault bool) {
 	failure := indicator(status != OK)
 	d.errorRate += (failure - d.errorRate) * errorRateGain
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// An error costs an endpoint the requests of its class alone, a time-out those of all classes.
-func TestOutlierDetectorSeparatesErrorsFromTimeOuts(t *testing.T) {
+// An error response reduces the endpoint's weight for the request's class only, a timeout for all classes.
+func TestOutlierDetectorSeparatesErrorsFromTimeouts(t *testing.T) {
 	b, _ := newWithEndpoints(t, testSettings(), 4)
 	failing, healthy := b.endpoints.byID["s0"], b.endpoints.byID["s1"]
 	failed, other := b.classes[0], b.classes[2]
@@ -12,10 +12,10 @@
 		b.outliers.record(healthy, failed, OK)
 	}
 	if w := b.weight(testStart, failing, failed); w > b.weight(testStart, healthy, failed)/5 {
-		t.Errorf("errors leave weight %v for their class", w)
+		t.Errorf("weight after errors is %v for their class, want at most a fifth of a healthy one's", w)
 	}
 	if b.weight(testStart, failing, other) != b.weight(testStart, healthy, other) {
-		t.Error("errors of one class cost weight for another")
+		t.Error("errors of one class reduced the weight for another class")
 	}
 	for range 5 {
 		b.outliers.record(failing, failed, TimedOut)
@@ -24,12 +24,13 @@
 		}
 	}
 	if w := b.weight(testStart, failing, other); w > b.weight(testStart, healthy, other)/5 {
-		t.Errorf("time-outs leave weight %v for other classes", w)
+		t.Errorf("weight after timeouts is %v for other classes, want at most a fifth of a healthy one's",
+			w)
 	}
 }
 
-// All endpoints fail alike when a deeper tier fails.
-func TestOutlierDetectorExcusesFailuresOfAll(t *testing.T) {
+// When a deeper tier fails, all endpoints return errors at the same rate. None of them is an outlier.
+func TestOutlierDetectorIgnoresFailuresSharedByAllEndpoints(t *testing.T) {
 	b, _ := newWithEndpoints(t, testSettings(), 4)
 	for range 100 {
 		for _, ep := range b.endpoints.all {
@@ -38,18 +39,19 @@
 	}
 	for _, ep := range b.endpoints.all {
 		if b.outliers.record(ep, b.classes[0], Error) {
-			t.Errorf("%s: a failure that its peers show counts as its own", ep.ID)
+			t.Errorf("%s: a failure that all endpoints have was attributed to this endpoint", ep.ID)
 		}
 	}
 }
 
-// All endpoints refuse connections alike when a zone is lost.
+// When a zone is lost, all its endpoints refuse connections. Each failed connection is still attributed to
+// its endpoint.
 func TestOutlierDetectorCountsFailedConnectionAsOwnFault(t *testing.T) {
 	b, _ := newWithEndpoints(t, testSettings(), 8)
 	for range 5 {
 		for _, ep := range b.endpoints.all {
 			if !b.outliers.record(ep, b.classes[0], ConnectFailed) {
-				t.Fatalf("%s: a failed connection does not count as its own", ep.ID)
+				t.Fatalf("%s: a failed connection was not attributed to this endpoint", ep.ID)
 			}
 		}
 	}
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -3,31 +3,32 @@
 import "math"
 
 const (
-	inFlightExponent = 8.0  // how sharply a weight falls with the endpoint's calls in flight
-	triedWeight      = 1e-6 // factor for an endpoint that the request has tried, for when there is no other
+	inFlightExponent  = 8.0  // how steeply a weight falls with the endpoint's calls in flight
+	triedWeightFactor = 1e-6 // for endpoints already tried: selected only if no others remain
 )
 
-// candidate is an endpoint that takes part in a draw.
+// candidate is an endpoint that takes part in a weighted random selection.
 type candidate struct {
 	endpoint        *endpoint
 	weight          float64
 	slowStartFactor float64
 }
 
-// picker holds the candidates of a weighted random draw.
+// picker selects one of its candidates at random, by weight.
 type picker struct {
-	candidates []candidate // reused by the next draw
+	candidates []candidate // the slice is reused by the next selection
 }
 
-// drawTotals are sums of the candidates' weights.
-type drawTotals struct {
+// weightTotals are sums of the candidates' weights.
+type weightTotals struct {
 	all     float64
-	warming float64 // of endpoints in slow start
-	deficit float64 // by so much all would be greater if all were warm
+	warming float64 // endpoints in slow start only
+	deficit float64 // how much greater all would be if every candidate were warm
 }
 
-// pickEndpoint draws an endpoint for the request's next attempt, or returns nil if there is none. Where
-// endpoints in slow start would get more than they bear, the draw goes to the warm ones, or to none.
+// pickEndpoint selects an endpoint for the request's next attempt, or returns nil if there is none. If
+// endpoints in slow start would receive more calls than they can take, the excess goes to warm endpoints; if
+// there are none, pickEndpoint returns nil.
 func (b *Balancer) pickEndpoint(now Microseconds, req *request) *endpoint {
 	weight, weightedInFlight := b.gatherCandidates(now, req)
 	if weight == 0 {
@@ -36,15 +37,15 @@
 	totals := b.picker.discountInFlight(req.classState, weightedInFlight/weight)
 	overload := max(1, slowStartOverloadMargin*b.settings.SlowStartOverload)
 	if x := b.random.Float64() * max(totals.all, (totals.all+totals.deficit)/overload); x < totals.all {
-		return b.picker.at(x)
+		return b.picker.endpointAt(x)
 	}
 	b.picker.excludeWarming()
-	return b.picker.at(b.random.Float64() * (totals.all - totals.warming))
+	return b.picker.endpointAt(b.random.Float64() * (totals.all - totals.warming))
 }
 
-// gatherCandidates gathers this replica's subset. The subset grows where it has too few warm and healthy
-// endpoints, or none that the request may go to. It returns the sum of the weights, and that of the weights
-// times calls in flight.
+// gatherCandidates makes this replica's subset the candidates. It extends the subset if it has too few warm
+// and healthy endpoints, or none that may receive the request. It returns the sum of the candidates' weights,
+// and the sum of their weights multiplied by their calls in flight.
 func (b *Balancer) gatherCandidates(now Microseconds, req *request) (weight, weightedInFlight float64) {
 	p := &b.picker
 	p.candidates = p.candidates[:0]
@@ -59,7 +60,7 @@
 			c.weight = b.weight(now, ep, req.classState)
 		}
 		if req.triedEndpoint(ep) {
-			c.weight *= triedWeight
+			c.weight *= triedWeightFactor
 		}
 		weight += c.weight
 		weightedInFlight += c.weight * float64(ep.inFlight)
@@ -68,10 +69,10 @@
 	return weight, weightedInFlight
 }
 
-// weight is an endpoint's weight by capacity, health, latency, age and zone, before its calls in flight
-// count.
+// weight returns an endpoint's weight by capacity, health, latency, slow start and zone, without regard to
+// its calls in flight.
 func (b *Balancer) weight(now Microseconds, ep *endpoint, class *classState) float64 {
-	if b.settings.reintroductionDue(now, ep) { // one call of each replica is no burden
+	if b.settings.reintroductionDue(now, ep) { // a single call from each replica cannot overload it
 		return 1
 	}
 	health := max(minHealth, ep.healthFactor(class))
@@ -85,9 +86,9 @@
 	return w
 }
 
-// discountInFlight divides the weights by what the endpoints have in flight, and sums them up.
-func (p *picker) discountInFlight(class *classState, meanInFlight float64) drawTotals {
-	var totals drawTotals
+// discountInFlight reduces each weight according to the endpoint's calls in flight, and sums the weights.
+func (p *picker) discountInFlight(class *classState, meanInFlight float64) weightTotals {
+	var totals weightTotals
 	for i := range p.candidates {
 		c := &p.candidates[i]
 		c.weight /= math.Pow(1+c.endpoint.effectiveInFlight(class, meanInFlight), inFlightExponent)
@@ -100,14 +101,14 @@
 	return totals
 }
 
-// effectiveInFlight is how many calls of this replica an endpoint counts as having in flight. One that fails
-// at once has none, and would draw all calls while its peers are busy: the less healthy an endpoint is, the
-// nearer it counts to the mean.
+// effectiveInFlight returns the number of this replica's calls in flight that an endpoint's weight is based
+// on. An endpoint that fails calls immediately has none in flight and would attract all calls while its peers
+// are busy. Its number is therefore raised towards the mean, the more so the less healthy it is.
 func (ep *endpoint) effectiveInFlight(class *classState, mean float64) float64 {
 	return max(float64(ep.inFlight), (1-ep.healthFactor(class))*mean)
 }
 
-// excludeWarming takes the endpoints in slow start out of the draw.
+// excludeWarming sets the weight of endpoints in slow start to 0.
 func (p *picker) excludeWarming() {
 	for i := range p.candidates {
 		c := &p.candidates[i]
@@ -115,8 +116,9 @@
 	}
 }
 
-// at returns the endpoint at which the running sum of weights passes x, or nil if none has weight.
-func (p *picker) at(x float64) (last *endpoint) {
+// endpointAt returns the first endpoint at which the cumulative weight exceeds x, or nil if all weights are
+// 0. If rounding errors leave no such endpoint, it returns the last one with a positive weight.
+func (p *picker) endpointAt(x float64) (last *endpoint) {
 	for _, c := range p.candidates {
 		if c.weight > 0 {
 			last = c.endpoint
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -14,21 +14,25 @@
 	}
 	before := b.weight(testStart, fast, class)
 	if slowWeight := b.weight(testStart, slow, class); before < 2*slowWeight {
-		t.Errorf("weights %v and %v, want the fast endpoint's twice the slow one's", before, slowWeight)
+		t.Errorf("weights of the fast and the slow endpoint are %v and %v, want a ratio of at least 2",
+			before, slowWeight)
 	}
 	b.outliers.record(fast, class, Error)
 	if w := b.weight(testStart, fast, class); w > before/2 {
-		t.Errorf("a failure that peers do not show leaves weight %v of %v", w, before)
+		t.Errorf("a failure that peers do not have reduces the weight to %v from %v, want at most half",
+			w, before)
 	}
 	for range 100 {
 		b.outliers.record(fast, class, Error)
 	}
 	if w := b.weight(testStart, fast, class); w <= 0 {
-		t.Errorf("many failures leave weight %v, want a part for trials", w)
+		t.Errorf("many failures reduce the weight to %v, want more than 0 so that it still gets trial calls",
+			w)
 	}
 }
 
-// An endpoint that fails at once has nothing in flight while its peers hold each call for a while.
+// An endpoint that fails calls immediately has none in flight, while its peers need some time for each call.
+// Without effectiveInFlight it would therefore attract most calls.
 func TestPickEndpointAvoidsFastFailingEndpoint(t *testing.T) {
 	b, h := newWithEndpoints(t, testSettings(), 4)
 	now, failed, sent := testStart, 0, 0
@@ -53,11 +57,12 @@
 		}
 	}
 	if failed == 0 || failed > sent/10 {
-		t.Errorf("%d of %d attempts went to the failing endpoint of four, want some and at most a tenth", failed, sent)
+		t.Errorf("%d of %d attempts went to one failing endpoint of four, want some and at most a tenth",
+			failed, sent)
 	}
 }
 
-// Without its part of the calls a rejecting endpoint would leave the others crowded.
+// If an endpoint that rejects calls got fewer of them, the other endpoints could become overloaded.
 func TestPickEndpointKeepsRejectingEndpoint(t *testing.T) {
 	b, h := newWithEndpoints(t, testSettings(), 4)
 	now, firstAttempts := testStart, 0
@@ -80,7 +85,8 @@
 		}
 	}
 	if firstAttempts < 70 {
-		t.Errorf("%d of 400 first attempts went to the endpoint that rejects every other, want 70 or more", firstAttempts)
+		t.Errorf("%d of 400 first attempts went to the endpoint that rejects half of them, want at least 70",
+			firstAttempts)
 	}
 }
 
@@ -98,7 +104,7 @@
 			b.UpdateEndpoints(testStart, h, FullUpdate, list)
 			small, large := b.endpoints.byID["s0"], b.endpoints.byID["s1"]
 			if got := b.weight(testStart, large, b.classes[0]) / b.weight(testStart, small, b.classes[0]); got != c.want {
-				t.Errorf("ratio %v, want %v", got, c.want)
+				t.Errorf("ratio of the weights is %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// Reconfigure puts other settings in force, for all that is decided from now on. They are validated
-// before anything changes; an error is a *FieldError. Tier and SubscribeRequired cannot change.
+// Reconfigure replaces the settings for all subsequent decisions. The new settings are validated before
+// anything changes; an error is a *FieldError. Tier and SubscribeRequired cannot change.
 //
-// Classes and tenants are identified by their names. What was learned of those that stay, of endpoints and of
-// the tier is kept; new ones begin as in New. A request that has arrived keeps its class as it was then, also
-// where that class is gone now, and an attempt the settings that it was decided under. Reconfigure calls no
-// Host and draws no random numbers.
+// Classes and tenants are identified by their names. The learned state of those that remain, of endpoints and
+// of the tier is kept; new classes and tenants start as in New. A request that has already arrived keeps its
+// class as it was on arrival, even if the class has been removed, and an attempt keeps the settings under
+// which it was decided. Reconfigure does not call the Host and uses no random numbers.
 func (b *Balancer) Reconfigure(s Settings) error {
 	if err := s.validate(); err != nil {
 		return err
 	}
 	const needsRestart = "a change needs a restart"
-	// Limits and quotas that one tier has taught mean nothing in another.
+	// Limits and quotas learned in one tier are meaningless in another.
 	if s.Tier != b.settings.Tier {
 		return &FieldError{Field: "Tier", Problem: needsRestart, Value: s.Tier}
 	}
-	// A subscription that was requested would never be answered, or one be answered that was not requested.
+	// A requested subscription would never be answered, or one would be answered that was never requested.
 	if s.SubscribeRequired != b.settings.SubscribeRequired {
 		return &FieldError{Field: "SubscribeRequired", Problem: needsRestart, Value: s.SubscribeRequired}
 	}
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// configure puts valid settings in force.
+// configure applies settings that have been validated.
 func (b *Balancer) configure(s Settings) {
 	s.Classes, s.Tenants = slices.Clone(s.Classes), slices.Clone(s.Tenants)
 	s.setDefaultRetryBudget()
@@ -42,7 +42,8 @@
 	b.configureEvidence()
 }
 
-// replaceClasses gathers the states of the settings' classes: those of classes that stay, and fresh ones.
+// replaceClasses sets up the states of the settings' classes. Classes that remain keep their state, and new
+// classes get an initial one.
 func (b *Balancer) replaceClasses(before []Class) {
 	var states []*classState
 	for i, from := range matchNames(classNames(before), classNames(b.settings.Classes)) {
@@ -70,7 +71,8 @@
 	}
 }
 
-// assignSlot gives a new class the lowest free slot, and drops what endpoints have there of an earlier class.
+// assignSlot assigns the lowest free slot to a new class, and clears the endpoints' health that an earlier
+// class has left in that slot.
 func (b *Balancer) assignSlot(state *classState) {
 	slot := 0
 	for slices.ContainsFunc(b.classes, func(other *classState) bool { return other.slot == slot }) {
@@ -96,8 +98,8 @@
 	return names
 }
 
-// matchNames returns at which index each name stood before, -1 if at none. Where one of two names is empty,
-// indexes identify them.
+// matchNames returns for each name in after its index in before, or -1 if it has none. If one of two names at
+// the same index is empty, the names match by index.
 func matchNames(before, after []string) []int {
 	from := make([]int, len(after))
 	for i, name := range after {
@@ -108,7 +110,7 @@
 		if from[i] < 0 && i < len(before) && (name == "" || before[i] == "") {
 			from[i] = i
 		}
-		if slices.Contains(from[:i], from[i]) { // the name is given twice
+		if slices.Contains(from[:i], from[i]) { // an earlier name has already matched this index
 			from[i] = -1
 		}
 	}
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -10,15 +10,15 @@
 	"testing"
 )
 
-// invalidSettings returns settings that Reconfigure must not accept in place of these, by the field at fault. Each
-// changes valid fields as well, none of which may be applied.
+// invalidSettings returns variants of s that Reconfigure must reject, keyed by the name of the invalid field.
+// Each variant also changes valid fields, and none of these changes may take effect.
 func invalidSettings(s Settings) map[string]Settings {
 	all := map[string]Settings{}
-	add := func(field string, spoil func(*Settings)) {
+	add := func(field string, invalidate func(*Settings)) {
 		bad := s
 		bad.Classes, bad.Tenants = slices.Clone(s.Classes), slices.Clone(s.Tenants)
 		bad.Replicas, bad.MaxAttempts = s.Replicas+7, s.MaxAttempts+7
-		spoil(&bad)
+		invalidate(&bad)
 		all[field] = bad
 	}
 	add("Classes", func(s *Settings) { s.Classes = nil })
@@ -32,7 +32,8 @@
 	return all
 }
 
-// operatorChanges returns a step that detaches and attaches endpoints, the same ones for the same seed.
+// operatorChanges returns a function that detaches and attaches random endpoints before a driver's steps. The
+// same seed gives the same changes.
 func operatorChanges(seed uint64) func(*driver) {
 	random := rand.New(rand.NewPCG(seed, 4))
 	return func(d *driver) {
@@ -80,16 +81,17 @@
 	}
 }
 
-// settingsChanger reconfigures the Balancer at random: classes are added, removed, moved and changed.
+// settingsChanger calls Reconfigure with random settings: it adds, removes, moves and changes classes, for
+// example.
 type settingsChanger struct {
 	random           *rand.Rand
-	newClasses       int // classes added, for their names
-	applied          int // settings put in force
+	addedClasses     int // number of classes added, from which their names are made
+	reconfigurations int // number of calls of Reconfigure
 	removedClasses   int
-	orphanedRequests int // requests in flight whose class was removed
+	orphanedRequests int // number of requests in flight whose class was removed
 }
 
-// change reconfigures at some steps.
+// change reconfigures the Balancer before one in 40 steps, on average.
 func (c *settingsChanger) change(d *driver) {
 	if c.random.IntN(40) > 0 {
 		return
@@ -98,10 +100,10 @@
 	s.Classes, s.Tenants = slices.Clone(s.Classes), slices.Clone(s.Tenants)
 	for range 1 + c.random.IntN(3) {
 		c.changeClasses(&s)
-		c.changeFigures(&s)
+		c.changeOtherSettings(&s)
 	}
 	mustReconfigure(d.t, d.balancer, s)
-	c.applied++
+	c.reconfigurations++
 	for _, id := range d.openRequests {
 		req := d.checker.requests[id]
 		if len(req.pending) > 0 && !slices.Contains(classNames(s.Classes), req.class.Name) {
@@ -119,9 +121,9 @@
 		s.Classes = slices.Delete(s.Classes, i, i+1)
 		c.removedClasses++
 	case x == 1 && len(s.Classes) < 8:
-		c.newClasses++
+		c.addedClasses++
 		added := s.Classes[i]
-		added.Name = fmt.Sprint("new", c.newClasses%4) // some have been removed before
+		added.Name = fmt.Sprint("new", c.addedClasses%4) // names of removed classes recur
 		if !slices.Contains(classNames(s.Classes), added.Name) {
 			s.Classes = slices.Insert(s.Classes, i, added)
 		}
@@ -139,8 +141,8 @@
 	}
 }
 
-// changeFigures changes other settings.
-func (c *settingsChanger) changeFigures(s *Settings) {
+// changeOtherSettings changes some settings other than Classes.
+func (c *settingsChanger) changeOtherSettings(s *Settings) {
 	switch c.random.IntN(6) {
 	case 0:
 		s.Tenants = append(s.Tenants[1:], Tenant{Name: fmt.Sprint("t", c.random.IntN(5)), QuotaFraction: 0.5, RateQuota: 30})
@@ -158,8 +160,8 @@
 	}
 }
 
-// Requests whose class changes or goes while they are in flight keep the idempotency, scope and window that they
-// arrived with.
+// If the class of a request in flight is changed or removed, the request keeps the idempotency, dedup scope
+// and dedup window that were in force on its arrival.
 func TestReconfigureKeepsRulesInRandomSequences(t *testing.T) {
 	total := settingsChanger{}
 	for seed := range uint64(40) {
@@ -167,13 +169,13 @@
 			c := &settingsChanger{random: rand.New(rand.NewPCG(seed, 2))}
 			_, violations := runRandomEvents(t, seed, 5000, c.change)
 			reportViolations(t, violations)
-			total.applied += c.applied
+			total.reconfigurations += c.reconfigurations
 			total.removedClasses += c.removedClasses
 			total.orphanedRequests += c.orphanedRequests
 		})
 	}
-	if total.applied < 1000 || total.removedClasses < 100 || total.orphanedRequests < 100 {
-		t.Errorf("the sequences test too little: %+v", total)
+	if total.reconfigurations < 1000 || total.removedClasses < 100 || total.orphanedRequests < 100 {
+		t.Errorf("the random sequences contain too few relevant changes: %+v", total)
 	}
 }
 
@@ -186,7 +188,7 @@
 				return actions
 			}
 			if !slices.Equal(run(), run()) {
-				t.Error("two runs differ")
+				t.Error("two runs with the same events gave different actions")
 			}
 		})
 	}
@@ -209,21 +211,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := testSettings()
-			withFigures := func(class Class) []Class {
+			withCommonFields := func(class Class) []Class {
 				class.Name, class.LatencyObjective, class.Deadline = "a", 500_000, 1_500_000
 				class.PriorityWeight, class.LateFraction = 1, 0.3
 				return []Class{class}
 			}
-			s.Classes = withFigures(c.before)
+			s.Classes = withCommonFields(c.before)
 			b, h := newWithEndpoints(t, s, 1)
 			b.UpdateEndpoints(testStart, h, IncrementalUpdate, []Endpoint{{ID: "other", Cell: 9, State: Ready, Capacity: 1}})
 			sendRequest(b, h, testStart, "r", 0)
-			s.Classes = withFigures(c.after)
+			s.Classes = withCommonFields(c.after)
 			mustReconfigure(t, b, s)
 			b.HandleOutcome(testStart+c.resetAfter, h, Outcome{ID: "r", Status: Reset, Latency: c.resetAfter})
 			retried := len(h.sends) == 2 && h.sends[1].endpoint != h.sends[0].endpoint
 			if retried != c.retried {
-				t.Errorf("retried at another endpoint: %v, want %v; last action %q", retried, c.retried, h.last())
+				t.Errorf("retried at another endpoint: %v, want %v; last action %q",
+					retried, c.retried, h.last())
 			}
 		})
 	}
@@ -239,24 +242,26 @@
 	mustReconfigure(t, b, without)
 	b.HandleOutcome(testStart+1000, h, Outcome{ID: "r", Status: Error, Latency: 1000})
 	if len(h.sends) != 2 || h.sends[1].endpoint == first {
-		t.Fatalf("no retry at another endpoint: %q", h.actions)
+		t.Fatalf("no retry at another endpoint; actions: %q", h.actions)
 	}
 	mustReconfigure(t, b, s)
 	if c := b.classes[0]; c.limit.inFlight != 0 || c.latency.successes != 0 || c.errorRate != 0 {
-		t.Errorf("the class that was added again has %+v", c)
+		t.Errorf("the class that was added again has old state: %+v", c)
 	}
 	b.HandleOutcome(testStart+2000, h, Outcome{ID: "r", Attempt: 1, Status: Error, Latency: 1000})
 	b.HandleOutcome(testStart+3000, h, Outcome{ID: "r", Attempt: 2, Status: OK, Latency: 1000, RequestDone: true})
 	for _, ep := range b.endpoints.all {
 		if health := ep.classHealth(b.classes[0]).factor; health != 1 {
-			t.Errorf("the old request's failures leave health %v of %s for the new class", health, ep.ID)
+			t.Errorf("the old request's failures changed the health for the new class to %v at %s",
+				health, ep.ID)
 		}
 	}
 	if c := b.classes[0]; c.limit.inFlight != 0 || c.latency.successes != 0 {
-		t.Errorf("the old request's end counts for the new class: %+v", c)
+		t.Errorf("the end of the old request was counted for the new class: %+v", c)
 	}
 	if b.tierLimit.inFlight != 0 || len(b.requests) != 0 {
-		t.Errorf("after the old request's end %d calls are in flight and %d requests kept", b.tierLimit.inFlight, len(b.requests))
+		t.Errorf("after the old request ended, %d calls are in flight and %d requests stored, want none",
+			b.tierLimit.inFlight, len(b.requests))
 	}
 }
 
@@ -284,7 +289,7 @@
 
 	after := b.ExportState()
 	if after.TierLimit != 7.5 || after.QuotaMultiplier != 0.6 || after.CrossZoneWeight != 0.4 || after.ErrorRate != 0.2 {
-		t.Errorf("the tier's state is not kept: %+v", after)
+		t.Errorf("the tier's learned state was not kept: %+v", after)
 	}
 	want := []LearnedClass{before.Classes[2], before.Classes[1],
 		{Name: "fresh", Limit: initialLimit, MeanLatency: 200_000, UnloadedLatency: 200_000}}
@@ -295,18 +300,19 @@
 		t.Errorf("health of s0 by class: %v, want 0.5, 1 and 1", got)
 	}
 	if after.Endpoints["s1"].Health != 0.1 || after.Endpoints["s2"].RelativeLatency != 2 {
-		t.Errorf("the endpoints' state is not kept: %+v", after.Endpoints)
+		t.Errorf("the endpoints' learned state was not kept: %+v", after.Endpoints)
 	}
 	kept, added := b.quotas.tenants[0], b.quotas.tenants[1]
 	if kept.arrivals.count != 1 || added.arrivals.count != 0 || kept.fraction != 0.4 || b.quotas.fairRate != 15 {
-		t.Errorf("tenants %+v and %+v, %v a second together", kept, added, b.quotas.fairRate)
+		t.Errorf("tenants are %+v and %+v, with a fair rate of %v per second in total",
+			kept, added, b.quotas.fairRate)
 	}
 	if duration := b.tierLimit.evidence.minDuration; duration != roundObjectives*800_000 {
 		t.Errorf("a round lasts %d us, want %d", duration, roundObjectives*800_000)
 	}
 }
 
-// Classes without names, as in settings written by hand, are identified by their index.
+// Classes without names, as in hand-written settings, are identified by their index.
 func TestReconfigureMatchesUnnamedClassesByIndex(t *testing.T) {
 	b, _ := newWithEndpoints(t, testSettings(), 1)
 	b.classes[1].limit.max, b.classes[4].limit.max = 30, 50
@@ -320,7 +326,7 @@
 	}
 }
 
-// The caller may modify settings after it has handed them over.
+// The caller may modify settings after passing them to New or Reconfigure.
 func TestReconfigureCopiesSettings(t *testing.T) {
 	s := named(testSettings())
 	b, h := newWithEndpoints(t, s, 4)
@@ -330,6 +336,6 @@
 	sendRequest(b, h, testStart, "r", notIdempotentClass)
 	b.HandleOutcome(testStart+1000, h, Outcome{ID: "r", Status: Reset, Latency: 1000})
 	if h.last() != "fail r" {
-		t.Errorf("got %q, want a failure", h.last())
+		t.Errorf("last action is %q, want the request to fail", h.last())
 	}
 }
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -1,13 +1,13 @@
 package balancer
 
 const (
-	slowStartMargin         = 0.6  // part of its least capacity that an endpoint in slow start is given
-	slowStartOverloadMargin = 0.75 // of Settings.SlowStartOverload, where warm ones can't take the rest
-	reintroductionSteps     = 200  // of SlowStartDuration: the time between two replicas' first calls
+	slowStartMargin            = 0.6  // fraction of its minimum capacity used for an endpoint in slow start
+	slowStartOverloadMargin    = 0.75 // fraction of SlowStartOverload used if warm ones can't take the rest
+	reintroductionDelayDivisor = 200  // SlowStartDuration / this: delay between two replicas' first calls
 )
 
-// slowStartFactor is the part of a warm endpoint's weight that an endpoint gets for its age: less than the
-// least capacity that one of its age has, and 1 once it is warm.
+// slowStartFactor returns the fraction of a warm endpoint's weight that an endpoint of its age gets. It is 1
+// once the endpoint is warm, and before that less than the minimum capacity of an endpoint of that age.
 func (s *Settings) slowStartFactor(now Microseconds, ep *endpoint) float64 {
 	start := max(ep.StartedAt, ep.attachedAt)
 	age := now - start
@@ -18,8 +18,9 @@
 	return slowStartMargin * (s.SlowStartCapacity + (1-s.SlowStartCapacity)*elapsed)
 }
 
-// reintroductionDue reports whether this replica is due to give an attached endpoint its first call.
+// reintroductionDue reports whether this replica should now send its first call to a newly attached endpoint.
+// Replicas take turns, so that their first calls do not arrive together.
 func (s *Settings) reintroductionDue(now Microseconds, ep *endpoint) bool {
-	delay := Microseconds(s.ReplicaIndex) * s.SlowStartDuration / reintroductionSteps
+	delay := Microseconds(s.ReplicaIndex) * s.SlowStartDuration / reintroductionDelayDivisor
 	return ep.reintroductionPending && now >= ep.attachedAt+delay
 }
--- a/balancer/slowstart_model_test.go
+++ b/balancer/slowstart_model_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// slowStartModel is many replicas before the same endpoints, with requests that arrive at random.
+// slowStartModel simulates many replicas that send requests to the same endpoints. Requests arrive at random
+// times.
 type slowStartModel struct {
 	t           *testing.T
 	settings    Settings
@@ -15,9 +16,9 @@
 	hosts       []*recorder
 	random      *rand.Rand
 	now         Microseconds
-	outstanding []outstandingCall         // in the order of their ends
-	sendTimes   map[string][]Microseconds // when each endpoint got a call
-	requests    int                       // numbers the requests
+	outstanding []outstandingCall         // ordered by endsAt
+	sendTimes   map[string][]Microseconds // times of the calls to each endpoint
+	requests    int                       // number of the latest request, also used as its ID
 	served      int
 }
 
@@ -30,7 +31,7 @@
 const (
 	slowStartReplicas  = 30
 	slowStartEndpoints = 12
-	slowStartWarmRate  = 40.0   // capacity of a warm endpoint, in calls a second
+	slowStartWarmRate  = 40.0   // capacity of a warm endpoint, in calls per second
 	slowStartLatency   = 40_000 // microseconds
 )
 
@@ -68,7 +69,7 @@
 	}
 }
 
-// run has requests arrive for a time, at a part of the endpoints' warm capacity.
+// run simulates requests during span, at a rate of load times the capacity of all endpoints when warm.
 func (f *slowStartModel) run(load float64, span Microseconds) {
 	rate := load * slowStartWarmRate * slowStartEndpoints
 	for end := f.now + span; f.now < end; {
@@ -91,7 +92,8 @@
 	}
 }
 
-// checkRate checks that an endpoint which started at startedAt got no more in any window than it bears.
+// checkRate checks that an endpoint which started at startedAt got no more calls in any window than it can
+// handle.
 func (f *slowStartModel) checkRate(id string, startedAt, window Microseconds) {
 	f.t.Helper()
 	times := f.sendTimes[id]
@@ -105,52 +107,58 @@
 				n++
 			}
 		}
-		least := f.settings.SlowStartCapacity
-		capacity := min(1, least+(1-least)*float64(from-startedAt)/float64(f.settings.SlowStartDuration))
-		bears := f.settings.SlowStartOverload * capacity * slowStartWarmRate * float64(window) / float64(second)
-		if most := bears + 2*math.Sqrt(bears) + 2; float64(n) > most {
-			f.t.Errorf("%s got %d calls in the window from %d ms after its start, it bears %.1f", id, n, (from-startedAt)/1000, most)
+		initial := f.settings.SlowStartCapacity
+		capacity := min(1, initial+(1-initial)*float64(from-startedAt)/float64(f.settings.SlowStartDuration))
+		expected := f.settings.SlowStartOverload * capacity * slowStartWarmRate *
+			float64(window) / float64(second)
+		if limit := expected + 2*math.Sqrt(expected) + 2; float64(n) > limit {
+			f.t.Errorf("%s got %d calls in the window that begins %d ms after its start, want at most %.1f",
+				id, n, (from-startedAt)/1000, limit)
 			return
 		}
 	}
 }
 
-// restartCount starts to count requests anew, with other IDs than before.
-func (f *slowStartModel) restartCount(firstID int) { f.requests, f.served = firstID, 0 }
+// resetCounts resets the counters. Later requests are numbered from lastID+1, so that their IDs differ from
+// earlier ones.
+func (f *slowStartModel) resetCounts(lastID int) { f.requests, f.served = lastID, 0 }
 
-// All endpoints start at once, as those of a zone do that returns. However many replicas there are, each keeps to its
-// part of what endpoints in slow start bear, and rather rejects requests; not all of them, nor for longer than slow
-// start.
+// All endpoints start at the same time, as happens when a zone recovers. Whatever the number of replicas,
+// each replica must not exceed its part of the load that endpoints in slow start can handle. It rejects the
+// excess requests, but not all requests, and hardly any after slow start.
 func TestSlowStartKeepsAllReplicasWithinCapacity(t *testing.T) {
 	for _, c := range []struct{ capacity, overload, load float64 }{{0.14, 3, 0.9}, {0.31, 3, 0.9}, {0.14, 4, 1.2}, {0.3, 2, 0.8}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			f := newSlowStartModel(t, c.capacity, c.overload)
 			f.run(c.load, 20*second)
 			if float64(f.served) < 0.99*float64(f.requests) {
-				t.Fatalf("%d of %d served while all endpoints were warm", f.served, f.requests)
+				t.Fatalf("%d of %d requests served while all endpoints were warm", f.served, f.requests)
 			}
 			startedAt := f.now
 			f.update(FullUpdate, f.endpoints(startedAt))
-			f.restartCount(1_000_000)
+			f.resetCounts(1_000_000)
 			f.run(c.load, 3*second)
 			for i := range slowStartEndpoints {
 				f.checkRate(fmt.Sprintf("s%d", i), startedAt, second)
 			}
-			// At least half of what the endpoints can serve when slow start begins is served.
+			// The replicas must serve at least half of the endpoints' capacity at the start of slow start.
 			requests := float64(f.requests - 1_000_000)
 			if capacity := requests * min(1, c.capacity/c.load); float64(f.served) < capacity/2 {
-				t.Errorf("%d of %.0f served in slow start, the endpoints could serve %.0f", f.served, requests, capacity)
+				t.Errorf("%d of %.0f requests served in slow start, want at least half of the capacity %.0f",
+					f.served, requests, capacity)
 			}
 			f.run(c.load, f.settings.SlowStartDuration)
-			f.restartCount(2_000_000)
+			f.resetCounts(2_000_000)
 			if f.run(c.load, 3*second); float64(f.served) < 0.99*float64(f.requests-2_000_000) {
-				t.Errorf("%d of %d served when all endpoints were warm again", f.served, f.requests-2_000_000)
+				t.Errorf("%d of %d requests served after all endpoints were warm again",
+					f.served, f.requests-2_000_000)
 			}
 		})
 	}
 }
 
-// Operators attach an endpoint at every replica in the same moment: each gives it a first call soon, but in turn.
+// Operators attach an endpoint at all replicas at the same time. Each replica sends it a first call soon, but
+// the replicas take turns.
 func TestAttachStaggersFirstCallsOfReplicas(t *testing.T) {
 	f := newSlowStartModel(t, 0.14, 3)
 	f.run(0.9, 20*second)
@@ -171,6 +179,6 @@
 		}
 	}
 	if calls < 5 {
-		t.Errorf("%d calls in the first two seconds, want 5 or more", calls)
+		t.Errorf("%d calls in the first two seconds after Attach, want at least 5", calls)
 	}
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -24,41 +24,42 @@
 	}
 	ratio := float64(warming) / float64(len(h.sends)-warming)
 	if ratio > s.SlowStartCapacity || ratio == 0 {
-		t.Errorf("an endpoint in slow start got %.3f of a warm one's calls, its capacity is %.3f", ratio, s.SlowStartCapacity)
+		t.Errorf("ratio of slow start to warm calls is %.3f, want more than 0 and at most the capacity %.3f",
+			ratio, s.SlowStartCapacity)
 	}
 	if f := b.settings.slowStartFactor(testStart+s.SlowStartDuration, b.endpoints.byID["s1"]); f != 1 {
-		t.Errorf("the factor after slow start is %v, want 1", f)
+		t.Errorf("slow start factor after slow start is %v, want 1", f)
 	}
 }
 
-// The endpoint may have restarted unnoticed while it was detached.
-func TestAttachBeginsSlowStart(t *testing.T) {
+// An endpoint may restart unnoticed while it is detached, so Attach resets its health and starts slow start.
+func TestAttachStartsSlowStart(t *testing.T) {
 	b, _ := newWithEndpoints(t, testSettings(), 4)
 	ep := b.endpoints.byID["s1"]
 	b.Detach("s1")
-	ep.overall.factor = minHealth // of the process before
+	ep.overall.factor = minHealth // set by failures of the previous process
 	b.Attach(testStart, "s1")
 	if f := b.settings.slowStartFactor(testStart, ep); f != slowStartMargin*b.settings.SlowStartCapacity {
-		t.Errorf("the factor is %v at first", f)
+		t.Errorf("slow start factor is %v immediately after Attach", f)
 	}
 	if ep.overall.factor != 1 {
-		t.Errorf("the health is %v, want 1", ep.overall.factor)
+		t.Errorf("health after Attach is %v, want 1", ep.overall.factor)
 	}
 	warm := testStart + b.settings.SlowStartDuration
 	if f := b.settings.slowStartFactor(warm, ep); f != 1 {
-		t.Errorf("the factor is %v after slow start, want 1", f)
+		t.Errorf("slow start factor is %v after slow start, want 1", f)
 	}
 	b.Attach(warm, "s1")
 	if f := b.settings.slowStartFactor(warm, ep); f != 1 {
-		t.Errorf("the factor is %v after a repeated Attach, want 1", f)
+		t.Errorf("slow start factor is %v after a repeated Attach, want 1", f)
 	}
 }
 
-// An endpoint in another zone, outside this replica's subset, gets one call soon all the same, and then what slow
-// start allows.
-func TestAttachGivesFirstCallSoon(t *testing.T) {
+// An attached endpoint gets its first call soon, even if it is in another zone and outside this replica's
+// subset. After that it gets as many calls as slow start allows.
+func TestAttachSendsFirstCallSoon(t *testing.T) {
 	s := testSettings()
-	s.Tier = 1 // where other zones weigh little
+	s.Tier = 1 // behind the front tier, other zones have a low initial weight
 	b, _ := newWithEndpoints(t, s, 16)
 	countSends(b, testStart, 400)
 	attached := b.endpoints.ready[len(b.endpoints.ready)-1]
@@ -70,7 +71,7 @@
 	b.Detach(attached.ID)
 	b.Attach(testStart, attached.ID)
 	if counts := countSends(b, testStart, 60); counts[attached.ID] == 0 {
-		t.Errorf("no attempt among 60: %v", counts)
+		t.Errorf("none of 60 attempts went to the attached endpoint: %v", counts)
 	}
 
 	h := &recorder{}
@@ -89,20 +90,22 @@
 		t.Run(c.name, func(t *testing.T) {
 			b.Detach(attached.ID)
 			c.attach()
-			if attempts := failFirstTwo(b, h, attached.ID); attempts < 3 {
-				t.Errorf("%d attempts, two of which could not connect; want one more", attempts)
+			if attempts := failFirstTwoConnections(b, h, attached.ID); attempts < 3 {
+				t.Errorf("%d attempts after Attach, two of which could not connect, want at least 3",
+					attempts)
 			}
 		})
 	}
 	ep := b.endpoints.byID[attached.ID]
 	if weight := b.weight(testStart, ep, b.classes[0]); ep.reintroductionPending || weight >= slowStartMargin {
-		t.Errorf("after the first call: pending %v, weight %v", ep.reintroductionPending, weight)
+		t.Errorf("after the first call: pending %v, weight %v, want false and a slow start weight",
+			ep.reintroductionPending, weight)
 	}
 }
 
-// failFirstTwo has 200 requests arrive, fails to connect the first two attempts at an endpoint, and returns how many
-// it got.
-func failFirstTwo(b *Balancer, h *recorder, endpoint string) int {
+// failFirstTwoConnections sends 200 requests. The first two attempts to the endpoint end with ConnectFailed,
+// all others with OK. It returns the number of attempts to the endpoint.
+func failFirstTwoConnections(b *Balancer, h *recorder, endpoint string) int {
 	attempts := 0
 	for i := range 200 {
 		id, before := fmt.Sprint("t", i), len(h.sends)
--- a/balancer/subscription.go
+++ b/balancer/subscription.go
@@ -4,16 +4,16 @@
 
 const (
 	initialSubscribeBackoff = second / 4
-	maxSubscribeBackoff     = second // a longer one would delay changes of the list
+	maxSubscribeBackoff     = second // a longer backoff would delay changes of the endpoint list
 )
 
 // subscription keeps one subscription to the endpoint list open.
 type subscription struct {
-	requested bool
-	backoff   Microseconds // before the next try
+	requested bool         // Host.Subscribe was called and has not failed since
+	backoff   Microseconds // minimum delay before the next retry
 }
 
-// open requests the subscription unless that has been done.
+// open requests the subscription unless it is already requested.
 func (s *subscription) open(host Host) {
 	if s.requested {
 		return
@@ -22,8 +22,8 @@
 	host.Subscribe()
 }
 
-// fail takes the failure of a subscription or a poll. A retry follows after a backoff with jitter. Without a
-// requested subscription it does nothing: the retry is due already.
+// fail handles a failed subscription or poll: it schedules a retry after a backoff with jitter. If no
+// subscription is requested it does nothing, because a retry is already scheduled.
 func (s *subscription) fail(host Host, random *rand.Rand) {
 	if !s.requested {
 		return
@@ -34,5 +34,5 @@
 	s.requested = false
 }
 
-// resetBackoff takes a success.
+// resetBackoff resets the backoff after a successful update of the endpoint list.
 func (s *subscription) resetBackoff() { s.backoff = initialSubscribeBackoff }
--- a/balancer/subscription_test.go
+++ b/balancer/subscription_test.go
@@ -13,9 +13,9 @@
 	if len(h.timerTokens) != 1 {
 		t.Fatalf("%d timers after a failure, want 1", len(h.timerTokens))
 	}
-	b.UpdateEndpoints(testStart, h, FailedUpdate, nil) // subscription and poll fail one by one
+	b.UpdateEndpoints(testStart, h, FailedUpdate, nil) // the poll fails as well
 	if len(h.timerTokens) != 1 {
-		t.Errorf("%d timers after the same failure again, want 1", len(h.timerTokens))
+		t.Errorf("%d timers after a second failure without a new subscription, want 1", len(h.timerTokens))
 	}
 	b.TimerFired(testStart+second, h, h.timerTokens[0])
 	b.TimerFired(testStart+second, h, h.timerTokens[0])
@@ -24,7 +24,7 @@
 	}
 }
 
-// A long backoff would delay changes of the list.
+// A long backoff would delay changes of the endpoint list.
 func TestSubscriptionBackoffIsBounded(t *testing.T) {
 	s := testSettings()
 	s.SubscribeRequired, s.MaxPollInterval = true, 24*second
@@ -33,7 +33,7 @@
 		h.timerDelays = nil
 		b.UpdateEndpoints(testStart, h, FailedUpdate, nil)
 		if len(h.timerDelays) != 1 || h.timerDelays[0] > 2*second {
-			t.Fatalf("backoffs %v, want one of at most 2 s", h.timerDelays)
+			t.Fatalf("backoffs are %v, want a single one of at most 2 s", h.timerDelays)
 		}
 		b.TimerFired(testStart, h, timerToken{kind: subscribeTimer}.String())
 	}
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	minSubset        = 4.0      // endpoints that a replica spreads its calls over, at least
-	subsetRateFactor = 3.0      // and this times the root of its calls a second
-	ringStep         = 0.618034 // golden ratio: steps of it spread any number of replicas evenly over a ring
+	minSubsetSize    = 4.0      // minimum number of endpoints that a replica sends to
+	subsetRateFactor = 3.0      // the subset size is this times the root of the calls per second
+	ringStep         = 0.618034 // golden ratio: its multiples spread any number of replicas evenly on a ring
 )
 
-// ringPosition places an endpoint on the ring, alike at every replica and whatever its name means.
+// ringPosition hashes an endpoint's ID to a position on the ring. The position is the same at every replica
+// and does not depend on how IDs are chosen.
 func ringPosition(id string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(id)) // never fails
 	return h.Sum64()
 }
 
-// orderByRing orders endpoints so that a replica's subset comes first: they stand on a ring by their
-// positions, and replicas start at places spread over it. Without subsets each endpoint would hold
-// connections of every replica, and each replica would see too few calls to an endpoint to judge it.
+// orderByRing orders endpoints so that a replica's subset comes first. Endpoints are arranged on a ring by
+// position, and the replicas' starting points are spread over the ring. Without subsets, each endpoint would
+// hold connections from every replica, and each replica would send an endpoint too few calls to measure it.
 func orderByRing(endpoints []*endpoint, replicaIndex int) []*endpoint {
 	slices.SortFunc(endpoints, func(x, y *endpoint) int {
 		return cmp.Or(cmp.Compare(x.ringPosition, y.ringPosition), cmp.Compare(x.ID, y.ID))
@@ -32,8 +33,8 @@
 	return slices.Concat(endpoints[first:], endpoints[:first])
 }
 
-// refresh forgets removed endpoints and gathers the ready ones. An endpoint is out of the draw as soon as the
-// list says that it is draining or removed; the drain grace is not used.
+// refresh deletes removed endpoints and rebuilds the list of ready ones. An endpoint gets no new attempts as
+// soon as it is listed as draining or removed; Settings.DrainGrace is not used.
 func (l *endpointList) refresh() {
 	l.all = slices.DeleteFunc(l.all, func(ep *endpoint) bool {
 		if ep.State == Removed {
@@ -53,16 +54,16 @@
 	})
 }
 
-// subsetSizer sizes this replica's subset by its attempts a second.
+// subsetSizer computes the size of this replica's subset from its attempts per second.
 type subsetSizer struct {
 	attempts slidingWindow
 }
 
-// recordAttempt counts an attempt.
+// recordAttempt records that an attempt was sent.
 func (s *subsetSizer) recordAttempt(now Microseconds) { s.attempts.add(now) }
 
-// size is how many warm and healthy endpoints this replica's calls are spread over.
+// size returns how many warm and healthy endpoints this replica spreads its calls over.
 func (s *subsetSizer) size(now Microseconds) float64 {
 	rate := s.attempts.sum(now, windowLength) / float64(windowLength/second)
-	return max(minSubset, subsetRateFactor*math.Sqrt(rate))
+	return max(minSubsetSize, subsetRateFactor*math.Sqrt(rate))
 }
--- a/balancer/time.go
+++ b/balancer/time.go
@@ -2,8 +2,8 @@
 
 import "baylock/internal/microtime"
 
-// Microseconds is a point in time of the owner's clock, or the time between two of them. A Balancer reads no
-// clock: its owner chooses where the clock begins, and passes each event's time in.
+// Microseconds is a point in time on the owner's clock, or a duration. A Balancer does not read a clock: its
+// owner chooses the clock's starting value and passes the time with each event.
 type Microseconds = microtime.Microseconds
 
 // second is one second.
--- a/balancer/validate.go
+++ b/balancer/validate.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// FieldError says which field of Settings New or Reconfigure cannot accept.
+// FieldError reports the field of Settings because of which New or Reconfigure rejected them.
 type FieldError struct {
-	Field   string // path below Settings, such as "Classes[2].Deadline"
+	Field   string // path within Settings, such as "Classes[2].Deadline"
 	Problem string // such as "not positive"
-	Value   any    // the value at fault
+	Value   any    // the invalid value
 }
 
 // Error implements error.
@@ -14,7 +14,7 @@
 	return fmt.Sprintf("balancer: Settings.%s: %s: %v", e.Field, e.Problem, e.Value)
 }
 
-// fieldCheck is one requirement on a field.
+// fieldCheck is the result of checking one requirement on a field.
 type fieldCheck struct {
 	ok      bool
 	field   string
@@ -22,7 +22,7 @@
 	value   any
 }
 
-// validate returns a *FieldError for the first field that is out of its range. A NaN is out of every range.
+// validate returns a *FieldError for the first field that is out of range. NaN is never in range.
 func (s *Settings) validate() error {
 	checks := s.proxyChecks()
 	checks = append(checks, s.limitChecks()...)
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// proxyChecks are the requirements on the proxy's place in the deployment.
+// proxyChecks checks the settings that describe the proxy's place in the deployment.
 func (s *Settings) proxyChecks() []fieldCheck {
 	return []fieldCheck{
 		{len(s.Classes) > 0, "Classes", "fewer than one", len(s.Classes)},
@@ -55,7 +55,7 @@
 	}
 }
 
-// limitChecks are the requirements on limits and durations.
+// limitChecks checks limits and durations.
 func (s *Settings) limitChecks() []fieldCheck {
 	pollable := s.MaxPollInterval > 0 || s.MaxPollInterval == 0 && !s.SubscribeRequired
 	return []fieldCheck{
@@ -67,13 +67,14 @@
 		{s.RetryBudgetRatio >= 0, "RetryBudgetRatio", "negative", s.RetryBudgetRatio},
 		{s.DrainGrace >= 0, "DrainGrace", "negative", s.DrainGrace},
 		{pollable, "MaxPollInterval", "not positive", s.MaxPollInterval},
-		{s.SlowStartCapacity >= 0 && s.SlowStartCapacity <= 1, "SlowStartCapacity", "not within 0 and 1", s.SlowStartCapacity},
+		{s.SlowStartCapacity >= 0 && s.SlowStartCapacity <= 1, "SlowStartCapacity",
+			"not between 0 and 1", s.SlowStartCapacity},
 		{s.SlowStartDuration >= 0, "SlowStartDuration", "negative", s.SlowStartDuration},
 		{s.SlowStartOverload >= 0, "SlowStartOverload", "negative", s.SlowStartOverload},
 	}
 }
 
-// checks are the requirements on a class; path is that of its fields.
+// checks checks the fields of a class. Field names in the result are prefixed with path.
 func (c *Class) checks(path string) []fieldCheck {
 	knownIdempotency := c.Idempotency >= Idempotent && c.Idempotency <= NotIdempotent
 	knownScope := c.DedupScope >= DedupTier && c.DedupScope <= DedupCell
--- a/balancer/validate_test.go
+++ b/balancer/validate_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestNewRejectsSettingsOutOfRange(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
+	for field, invalidate := range map[string]func(*Settings){
 		"Classes":                     func(s *Settings) { s.Classes = nil },
 		"Zone":                        func(s *Settings) { s.Zone = 2 },
 		"Zones":                       func(s *Settings) { s.Zones = 0 },
@@ -30,14 +30,14 @@
 	} {
 		t.Run(field, func(t *testing.T) {
 			s := testSettings()
-			spoil(&s)
+			invalidate(&s)
 			_, err := New(s, 1)
 			var fieldErr *FieldError
 			if !errors.As(err, &fieldErr) || fieldErr.Field != field {
-				t.Fatalf("New: error %v, want a FieldError of %s", err, field)
+				t.Fatalf("New returned error %v, want a FieldError for %s", err, field)
 			}
 			if !strings.HasPrefix(err.Error(), "balancer: Settings."+field+": ") {
-				t.Errorf("the error's text is %q", err)
+				t.Errorf("error text is %q, want it to start with the field's path", err)
 			}
 		})
 	}
