--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -49,7 +49,7 @@
 	Zones             int // number of zones; at least 1
 	Classes           []Class
 	Tenants           []Tenant // may be empty
-	SubscribeRequired bool     // the endpoint list is only delivered after Host.Subscribe
+	SubscribeRequired bool     // Host.Subscribe is needed for updates of the endpoint list
 	CapacityHints     bool     // Endpoint.Capacity is meaningful; otherwise it is ignored
 
 	MaxAttempts        int          // maximum number of attempts for one request; at least 1
