--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -10,7 +10,8 @@
 	"baylock/internal/upstream"
 )
 
-// readBody buffers a request's body, or leaves one that is too long for that to be streamed. It fails with a *requestError.
+// readBody buffers a request's body. A body that is too long for that is left in request.Stream, to be forwarded as it
+// arrives. Its errors are of type *requestError.
 func readBody(w http.ResponseWriter, r *http.Request, request *upstream.Request, connection *clientconn.Conn,
 	arrivedAt time.Time) error {
 	control := http.NewResponseController(w)
@@ -20,14 +21,15 @@
 		return &requestError{status: http.StatusRequestEntityTooLarge, reason: err.Error()}
 	}
 	if err != nil {
-		return badRequest("the body broke off")
+		return badRequest("the body is incomplete or malformed")
 	}
 	request.Body = body
 	if complete {
 		if connection != nil {
 			connection.RequestRead()
 		}
-		// While the response is awaited net/http reads on, to notice a client that disconnects; that has no deadline.
+		// Until the response is written, net/http keeps reading to notice when the client disconnects. That read must
+		// not time out.
 		_ = control.SetReadDeadline(time.Time{})
 		return nil
 	}
@@ -35,11 +37,12 @@
 	if connection != nil {
 		stream.SetEndHook(connection.RequestRead)
 	}
-	_ = control.EnableFullDuplex() // a response may be due before the body has ended
+	_ = control.EnableFullDuplex() // the response may begin before the body has ended
 	return nil
 }
 
-// bodyStart is the time from which the first bytes of a body have message.FirstBytesPatience.
+// bodyStart returns the reference time for the pace of a body, whose first bytes are due message.FirstBytesPatience later:
+// FirstRequestTimeout after the accept for a connection's first request, headTimeout after the arrival for others.
 func bodyStart(connection *clientconn.Conn, arrivedAt time.Time) time.Time {
 	if connection == nil || connection.ServedRequest() {
 		return arrivedAt.Add(headTimeout - message.FirstBytesPatience)
--- a/internal/downstream/drain.go
+++ b/internal/downstream/drain.go
@@ -3,79 +3,84 @@
 import "time"
 
 const (
-	// NewConnectionsPossible is how long after SIGTERM new connections may arrive. For newConnectionsSure they surely do.
-	NewConnectionsPossible = 550 * time.Millisecond
-	newConnectionsSure     = 200 * time.Millisecond
+	// NewConnectionWindow is how long after SIGTERM new connections may still arrive. During minNewConnectionWindow they
+	// are certain to.
+	NewConnectionWindow    = 550 * time.Millisecond
+	minNewConnectionWindow = 200 * time.Millisecond
 
 	drainInterval = 20 * time.Millisecond
 
-	// While another process takes over, connections are closed that have been idle for handOverIdle, and all idle ones
-	// from handOverCloseAll on. Requests that cross a close are lost, but those that arrive more than 0.7 s after SIGTERM
-	// have to be answered before SIGKILL, and their responses may be long.
-	handOverIdle     = 300 * time.Millisecond
-	handOverCloseAll = 500 * time.Millisecond
+	// During a hand-over, connections that have been idle for handOverIdleTimeout are closed, and from
+	// handOverCloseAllAfter on all idle ones. A request that is sent while its connection is being closed is lost, but
+	// idle connections can't stay open for long either: a request that arrives more than 0.7 s after SIGTERM has to be
+	// answered before SIGKILL, and its response may be long.
+	handOverIdleTimeout   = 300 * time.Millisecond
+	handOverCloseAllAfter = 500 * time.Millisecond
 )
 
-// BeginShutdown has health checks fail after SIGTERM. It ends the emptying of a lame duck, as the shutdown does that.
+// BeginShutdown makes health checks fail after SIGTERM. It also stops the draining in lame duck mode, since the shutdown
+// drains the connections itself.
 func (s *Server) BeginShutdown() {
 	s.lameDuckMu.Lock()
 	defer s.lameDuckMu.Unlock()
 	s.draining.Store(true)
 	if s.lameDuck.Load() {
-		s.stopEmptying()
-		s.emptying.Wait()
+		s.stopLameDuckDrain()
+		s.lameDuckDrain.Wait()
 	}
 }
 
-// SetTakenOver sets whether another process of this proxy accepts connections.
+// SetTakenOver records whether another process of this proxy accepts connections.
 func (s *Server) SetTakenOver(takenOver bool) { s.takenOver.Store(takenOver) }
 
-// Drain shuts down after SIGTERM. Until serveUntil clients are served as ever, and keep their connections: new ones stop
-// soon, but a client uses those that it has while they stay open. What else it has is not known here: other proxies may
-// restart close behind each other, and for seconds this one may be the last, while its successor starts no sooner for
-// an early end. Then connections are closed as they fall idle, until none is left or cutoff has passed.
+// Drain shuts the server down after SIGTERM. Until serveUntil, requests are served as usual and connections stay open.
+// Clients soon stop opening new connections, but keep using the open ones, and the server does not know which other
+// proxies they can reach: the others may restart shortly after each other, so that this one may be the only one left for
+// some seconds, and its successor would not start sooner if this process exited early. After serveUntil, connections are
+// closed as they become idle, until none is left or cutoff has passed.
 //
-// This also covers other proxies that have crashed, and a load balancer in front that is slow to find a new one. Its price
-// is a supervisor that starts the successor only when this process has ended: that is then seconds later.
+// This also helps when other proxies have crashed, and when a load balancer in front of the proxies is slow to discover a
+// new one. The drawback: under a supervisor that starts the successor only after this process has exited, the successor
+// starts seconds later.
 func (s *Server) Drain(serveUntil, cutoff time.Time) {
 	begin := time.Now()
 	for {
 		elapsed := time.Since(begin)
 		serving := time.Now().Before(serveUntil) && s.connections.Stats().Open > 0
-		if elapsed >= NewConnectionsPossible && !serving {
+		if elapsed >= NewConnectionWindow && !serving {
 			break
 		}
-		s.newConnectionsEnded.Store(elapsed >= newConnectionsSure)
+		s.newConnectionsEnded.Store(elapsed >= minNewConnectionWindow)
 		time.Sleep(drainInterval)
 	}
 	s.Shutdown(cutoff)
 }
 
-// HandOver shuts down when another process has taken over. New connections go there; those that wait in the queue here are
-// still accepted. Responses close their connections from now on, and idle connections stay open while a request may well
-// be on its way to them.
+// HandOver shuts the server down after another process has taken over. New connections go to that process, but those in
+// the accept queue of this one are still accepted. From now on, each connection is closed after its response. Idle
+// connections stay open for as long as a request is likely to be on its way to them.
 func (s *Server) HandOver(cutoff time.Time) {
 	begin := time.Now()
 	s.closeAfterResponse.Store(true)
 	for {
 		elapsed := time.Since(begin)
-		if elapsed >= NewConnectionsPossible || !time.Now().Before(cutoff) {
+		if elapsed >= NewConnectionWindow || !time.Now().Before(cutoff) {
 			break
 		}
-		idleFor := handOverIdle
-		if elapsed >= handOverCloseAll {
+		idleFor := handOverIdleTimeout
+		if elapsed >= handOverCloseAllAfter {
 			idleFor = 0
 		}
-		s.connections.CloseIdle(idleFor, NewConnectionsPossible)
+		s.connections.CloseIdle(idleFor, NewConnectionWindow)
 		time.Sleep(drainInterval)
 	}
 	s.Shutdown(cutoff)
 }
 
-// Shutdown closes the listener once its queue is empty, connections as they fall idle, and at cutoff those that have
-// brought half a request. Submitted requests get their responses even then: the dispatcher fails them at cutoff, a response
-// that is being forwarded may take longer, until SIGKILL. No connection arrives after the last
-// look at them, since by then the listener is closed and nothing accepts.
+// Shutdown closes the listener once its accept queue is empty, and connections as they become idle. At cutoff it closes the
+// listener in any case, and the connections on which only part of a request has arrived. Submitted requests still get their
+// responses: the dispatcher fails them at cutoff, and a response that is being forwarded may take longer, until SIGKILL. No
+// connection can arrive after the last CloseIdle, since the listener is closed and Serve has returned by then.
 func (s *Server) Shutdown(cutoff time.Time) {
 	s.closeAfterResponse.Store(true)
 	for listening := true; ; time.Sleep(drainInterval) {
@@ -85,7 +90,7 @@
 			<-s.serveDone
 			listening = false
 		}
-		remaining, active := s.connections.CloseIdle(0, NewConnectionsPossible)
+		remaining, active := s.connections.CloseIdle(0, NewConnectionWindow)
 		if !listening && (remaining == 0 || late && active == 0) {
 			break
 		}
--- a/internal/downstream/health.go
+++ b/internal/downstream/health.go
@@ -8,14 +8,14 @@
 
 const healthPath = "/_health"
 
-// Healthy reports whether new clients are welcome. Where another process has taken over from one that shuts down, either
-// may be asked, and the proxy as a whole stays healthy.
+// Healthy reports whether new clients should use the proxy. After a hand-over, a health check may reach either the process
+// that is shutting down or its successor; both report healthy, as the proxy as a whole remains in service.
 func (s *Server) Healthy() bool {
 	return s.dispatcher.Ready() && !s.lameDuck.Load() && (!s.draining.Load() || s.takenOver.Load())
 }
 
 func (s *Server) serveHealthCheck(w http.ResponseWriter, r *http.Request) {
-	if r.ContentLength != 0 { // nobody reads the body, so what follows it is no request
+	if r.ContentLength != 0 { // the body is not read, so the connection cannot carry another request
 		w.Header().Set("Connection", "close")
 	} else if connection := clientconn.FromContext(r.Context()); connection != nil {
 		connection.RequestRead()
--- a/internal/downstream/lameduck.go
+++ b/internal/downstream/lameduck.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// LameDuckDelay is from the start of lame duck until clients get no new connections here: they repeat their health checks
-// within 0.1 s, and connect for 0.2 s more.
+// LameDuckDelay is the time from the start of lame duck mode until clients no longer open new connections to this proxy:
+// they repeat their health checks within 0.1 s, and may open connections for another 0.2 s.
 const LameDuckDelay = 400 * time.Millisecond
 
-// SetLameDuck empties the proxy of clients, or takes it back into service. Nothing else changes, and nothing restarts.
-// Whoever has set it clears it at last, which ends the goroutine that empties the proxy.
+// SetLameDuck starts draining the proxy of clients, or returns it to service. Nothing else changes, and nothing restarts.
+// A caller that has turned lame duck mode on has to turn it off in the end, which stops the draining goroutine.
 func (s *Server) SetLameDuck(on bool) {
 	s.lameDuckMu.Lock()
 	defer s.lameDuckMu.Unlock()
@@ -20,19 +20,19 @@
 	s.lameDuck.Store(on)
 	if on {
 		ctx, stop := context.WithCancel(context.Background())
-		s.stopEmptying = stop
-		s.emptying.Go(func() { s.empty(ctx) })
+		s.stopLameDuckDrain = stop
+		s.lameDuckDrain.Go(func() { s.drainLameDuck(ctx) })
 		return
 	}
-	s.stopEmptying()
-	s.emptying.Wait()
+	s.stopLameDuckDrain()
+	s.lameDuckDrain.Wait()
 	if !s.draining.Load() {
 		s.closeAfterResponse.Store(false)
 	}
 }
 
-// empty closes connections with their responses, and those that fall idle, until the context ends.
-func (s *Server) empty(ctx context.Context) {
+// drainLameDuck closes connections after their responses, and idle ones, from LameDuckDelay on until the context is done.
+func (s *Server) drainLameDuck(ctx context.Context) {
 	for wait := LameDuckDelay; ; wait = drainInterval {
 		select {
 		case <-time.After(wait):
@@ -40,6 +40,6 @@
 			return
 		}
 		s.closeAfterResponse.Store(true)
-		s.connections.CloseIdle(0, NewConnectionsPossible)
+		s.connections.CloseIdle(0, NewConnectionWindow)
 	}
 }
--- a/internal/downstream/parse.go
+++ b/internal/downstream/parse.go
@@ -23,21 +23,22 @@
 
 const (
 	maxIDLength  = 128 // bytes
-	maxTimeoutMs = 1e9 // larger values are taken as this one, far over any deadline
+	maxTimeoutMs = 1e9 // larger values are reduced to this one, which is far above any deadline
 
-	// A response has to leave this long before its client gives up, so that a busy core does not make it late. Short
-	// timeouts are reduced by a fraction only: one part in so many.
-	responseMargin         = 30 * time.Millisecond
-	responseMarginFraction = 8
+	// responseMargin is how long before the client's timeout a response has to be sent, so that a busy core does not make
+	// it late. Short timeouts are reduced by only one part in responseMarginDivisor.
+	responseMargin        = 30 * time.Millisecond
+	responseMarginDivisor = 8
 )
 
-var singleHeaders = []string{idHeader, classHeader, timeoutHeader, tenantHeader, idempotencyKeyHeader}
+// singleValueHeaders may occur only once in a request.
+var singleValueHeaders = []string{idHeader, classHeader, timeoutHeader, tenantHeader, idempotencyKeyHeader}
 
-// requestError is why a request is rejected before it is submitted.
+// requestError is the reason for rejecting a request before it is submitted.
 type requestError struct {
 	status        int // HTTP status of the response
 	reason        string
-	allowedMethod string // for status 405
+	allowedMethod string // for status 405; the value of the Allow header
 }
 
 func (e *requestError) Error() string { return e.reason }
@@ -46,7 +47,7 @@
 	return &requestError{status: http.StatusBadRequest, reason: reason}
 }
 
-// parse checks a request and reads its body, or the part of it that is buffered. It fails with a *requestError.
+// parse validates a request and reads its body, or the part of it that is buffered. Its errors are of type *requestError.
 func (s *Server) parse(w http.ResponseWriter, r *http.Request, arrivedAt time.Time) (*Request, error) {
 	connection := clientconn.FromContext(r.Context())
 	if err := checkMessage(r, connection); err != nil {
@@ -74,23 +75,23 @@
 	return request, nil
 }
 
-// checkMessage checks what holds for requests whatever the settings.
+// checkMessage checks the protocol version, the framing and the headers, none of which depend on the settings.
 func checkMessage(r *http.Request, connection *clientconn.Conn) error {
-	if !r.ProtoAtLeast(1, 1) { // net/http drops their Transfer-Encoding
-		return &requestError{status: http.StatusHTTPVersionNotSupported, reason: "HTTP/1.1 is spoken here"}
+	if !r.ProtoAtLeast(1, 1) { // net/http drops the Transfer-Encoding of these
+		return &requestError{status: http.StatusHTTPVersionNotSupported, reason: "HTTP/1.1 is required"}
 	}
 	if len(r.TransferEncoding) > 0 && (connection == nil || !connection.HasValidFraming()) {
-		return badRequest("the length is given in two ways")
+		return badRequest("Content-Length and Transfer-Encoding conflict")
 	}
-	for _, name := range singleHeaders {
+	for _, name := range singleValueHeaders {
 		if len(r.Header[name]) > 1 {
-			return badRequest(name + " is given twice")
+			return badRequest(name + " occurs more than once")
 		}
 	}
 	return nil
 }
 
-// parseHead checks a request's head against the settings. The result lacks what takes a body to know.
+// parseHead validates a request's head against the settings. It leaves unset the fields that depend on the body.
 func parseHead(r *http.Request, settings Settings) (*Request, error) {
 	className := r.Header.Get(classHeader)
 	class, classIndex, ok := settings.Class(className)
@@ -99,11 +100,11 @@
 	}
 	firstSegment, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	if firstSegment != className || !strings.HasPrefix(r.RequestURI, "/") {
-		return nil, badRequest("the path does not begin with the class")
+		return nil, badRequest("the path does not begin with the request class")
 	}
 	id := r.Header.Get(idHeader)
 	if id == "" || len(id) > maxIDLength {
-		return nil, badRequest("no Request-Id, or a long one")
+		return nil, badRequest("Request-Id is missing or too long")
 	}
 	if err := checkIdempotency(r, class.Idempotency); err != nil {
 		return nil, err
@@ -127,30 +128,32 @@
 	return request, nil
 }
 
-// checkIdempotency checks that the method and the idempotency key fit the class.
+// checkIdempotency checks that the method and the idempotency key are those that the class requires.
 func checkIdempotency(r *http.Request, idempotency balancer.Idempotency) error {
 	method := http.MethodPost
 	if idempotency == balancer.Idempotent {
 		method = http.MethodGet
 	}
 	if r.Method != method {
-		return &requestError{status: http.StatusMethodNotAllowed, reason: "wrong method for the class", allowedMethod: method}
+		return &requestError{status: http.StatusMethodNotAllowed, reason: "wrong method for the request class",
+			allowedMethod: method}
 	}
 	hasKey := r.Header.Get(idempotencyKeyHeader) != ""
 	if hasKey != (idempotency == balancer.IdempotentWithKey) {
-		return badRequest("Idempotency-Key does not fit the class")
+		return badRequest("Idempotency-Key is missing, or not allowed for the request class")
 	}
 	return nil
 }
 
-// parseTimeout returns how long the proxy may take for a request. 0 ms is valid: a caller may have less than one left.
+// parseTimeout returns how long the proxy may take for a request: the client's timeout, at most the class's deadline, less
+// the margin for the response. 0 ms is valid, since a client may have less than 1 ms left.
 func parseTimeout(header string, deadline time.Duration) (time.Duration, error) {
 	ms, err := strconv.ParseInt(header, 10, 64)
 	if err != nil || ms < 0 {
-		return 0, badRequest("Request-Timeout-Ms is no time")
+		return 0, badRequest("Request-Timeout-Ms is not a valid number of milliseconds")
 	}
 	timeout := min(deadline, time.Duration(min(ms, maxTimeoutMs))*time.Millisecond)
-	return timeout - min(responseMargin, timeout/responseMarginFraction), nil
+	return timeout - min(responseMargin, timeout/responseMarginDivisor), nil
 }
 
 func checkLength(r *http.Request) error {
@@ -158,12 +161,12 @@
 		return &requestError{status: http.StatusRequestEntityTooLarge, reason: "the body is too large"}
 	}
 	if r.ContentLength != 0 && r.Method == http.MethodGet {
-		return badRequest("a body on a GET")
+		return badRequest("a GET request must not have a body")
 	}
 	return nil
 }
 
-// forwardedHeader removes the headers that concern one connection, and leaves the framing of the body to net/http.
+// forwardedHeader removes the hop-by-hop headers and those that frame the body, which net/http sets itself.
 func forwardedHeader(header http.Header) http.Header {
 	for _, line := range header["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
@@ -175,7 +178,7 @@
 		delete(header, name)
 	}
 	if header["User-Agent"] == nil {
-		header["User-Agent"] = []string{""} // net/http adds none of its own
+		header["User-Agent"] = []string{""} // keeps net/http from adding its own
 	}
 	return header
 }
--- a/internal/downstream/parse_test.go
+++ b/internal/downstream/parse_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestForwardedHeaderDropsConnectionHeaders(t *testing.T) {
+func TestForwardedHeaderDropsHopByHopHeaders(t *testing.T) {
 	r := httptest.NewRequest(http.MethodGet, "/", nil)
 	for name, value := range map[string]string{"Connection": "close, X-Hop", "X-Hop": "1", "Te": "trailers", "Expect": "100-continue",
 		"X-End": "2", "User-Agent": "a"} {
--- a/internal/downstream/respond.go
+++ b/internal/downstream/respond.go
@@ -12,7 +12,7 @@
 
 const microsecondsPerSecond = 1e6
 
-// rejectInvalid writes the response to a request that parse has rejected.
+// rejectInvalid writes the error response to a request that parse has rejected.
 func (s *Server) rejectInvalid(w http.ResponseWriter, err error) {
 	invalid, ok := errors.AsType[*requestError](err)
 	if !ok {
@@ -21,15 +21,15 @@
 	if invalid.allowedMethod != "" {
 		w.Header().Set("Allow", invalid.allowedMethod)
 	}
-	// net/http reads the rest of the body before it closes the connection; that may never arrive.
+	// net/http reads the rest of the body before it closes the connection, and that rest may never arrive.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(message.DiscardPatience))
 	s.writeBuffered(w, Response{Status: invalid.status, ContentType: "text/plain", Body: []byte(invalid.reason + "\n")})
 }
 
-// respond writes a response. upload is the request's stream, or nil.
+// respond writes a response. upload is the request's streamed body, or nil.
 func (s *Server) respond(w http.ResponseWriter, r *http.Request, upload *message.RequestStream, response Response) {
 	if response.Status == 0 {
-		panic(http.ErrAbortHandler) // a return would answer 200
+		panic(http.ErrAbortHandler) // returning would make net/http answer 200
 	}
 	if upload != nil && !upload.Ended() {
 		w.Header().Set("Connection", "close")
@@ -45,7 +45,7 @@
 }
 
 func (s *Server) writeBuffered(w http.ResponseWriter, response Response) {
-	// What follows an invalid request may not be another one.
+	// After an invalid request, the next bytes on the connection need not be the start of another request.
 	invalid := response.Status >= 400 && response.Status < 500
 	s.setHeader(w.Header(), response.ContentType, int64(len(response.Body)), invalid)
 	if response.Status == http.StatusServiceUnavailable && response.RetryAfter > 0 {
@@ -53,10 +53,11 @@
 	}
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	w.WriteHeader(response.Status)
-	_, _ = w.Write(response.Body) // a client that has gone is no error
+	_, _ = w.Write(response.Body) // fails if the client has disconnected, which needs no handling
 }
 
-// writeStream writes a response as it arrives. One that breaks off ends the connection, so that the client notices.
+// writeStream forwards a response as it arrives. If the response is cut short, writeStream aborts the connection, so that
+// the client notices.
 func (s *Server) writeStream(w http.ResponseWriter, r *http.Request, response Response) {
 	stream, err := response.Stream, http.ErrAbortHandler
 	defer func() { stream.Done <- err }()
@@ -67,12 +68,12 @@
 	}
 }
 
-// setHeader sets the headers of all responses. length is the body's in bytes, -1 if it is not known.
+// setHeader sets the headers that all responses have. length is the body's length in bytes, or -1 if it is unknown.
 func (s *Server) setHeader(header http.Header, contentType string, length int64, closeConnection bool) {
 	if closeConnection || s.closeAfterResponse.Load() {
 		header.Set("Connection", "close")
 	}
-	header["Content-Type"] = nil // net/http does not guess one
+	header["Content-Type"] = nil // keeps net/http from guessing it
 	if contentType != "" {
 		header.Set("Content-Type", contentType)
 	}
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -17,21 +17,22 @@
 )
 
 const (
-	// FirstRequestTimeout is the time of a connection's first request, from the accept to the first bytes of its body. With
-	// headTimeout for its head a client that connects gets a response or a close within 3 s.
+	// FirstRequestTimeout limits the time from accepting a connection until the first bytes of the first request's body
+	// arrive. Together with headTimeout for its head, it ensures that a new client gets a response, or its connection is
+	// closed, within 3 s.
 	FirstRequestTimeout = 2800 * time.Millisecond
 
-	headTimeout  = 2200 * time.Millisecond // for a head, and for the first bytes of a later body
-	idleTimeout  = 10 * time.Second        // for the next request on a connection
+	headTimeout  = 2200 * time.Millisecond // for a request's head, and on later requests for the first bytes of the body
+	idleTimeout  = 10 * time.Second        // for the next request to begin on a connection
 	writeTimeout = 5 * time.Second         // for a buffered response
 )
 
-// Options are what a Server works with.
+// Options are the dependencies of a Server.
 type Options struct {
-	Listener   *clientconn.Listener // its embedded listener is set before Serve
+	Listener   *clientconn.Listener // its embedded listener has to be set before Serve
 	Budget     *message.Budget      // memory of buffered bodies
 	Dispatcher Dispatcher
-	Clock      timing.Clock // of the deadlines that requests get
+	Clock      timing.Clock // clock of the requests' times and deadlines
 	Log        *slog.Logger
 }
 
@@ -45,26 +46,26 @@
 	http        *http.Server
 	serveDone   chan struct{} // closed when Serve has returned
 
-	draining            atomic.Bool // the process is shutting down
-	takenOver           atomic.Bool // another process of this proxy accepts connections
-	newConnectionsEnded atomic.Bool // clients use the connections that they have
-	closeAfterResponse  atomic.Bool // each connection ends with its response
-	lameDuck            atomic.Bool // operators want no clients here
-	lameDuckMu          sync.Mutex  // held while lame duck begins or ends; guards stopEmptying
-	stopEmptying        func()      // stops emptying; set while lameDuck is
-	emptying            sync.WaitGroup
+	draining            atomic.Bool    // the process is shutting down
+	takenOver           atomic.Bool    // another process of this proxy accepts connections
+	newConnectionsEnded atomic.Bool    // clients may be unable to open further connections
+	closeAfterResponse  atomic.Bool    // each connection is closed after its response
+	lameDuck            atomic.Bool    // lame duck mode is on: clients are drained and kept away
+	lameDuckMu          sync.Mutex     // held while lameDuck changes; guards stopLameDuckDrain
+	stopLameDuckDrain   func()         // stops drainLameDuck; set while lameDuck is true
+	lameDuckDrain       sync.WaitGroup // waits for drainLameDuck
 }
 
 // State is what a Server is doing.
 type State struct {
 	Draining            bool // it is shutting down
 	TakenOver           bool // another process of this proxy accepts connections
-	LameDuck            bool // operators want no clients here
-	NewConnectionsEnded bool // clients use the connections that they have
-	CloseAfterResponse  bool // each connection ends with its response
+	LameDuck            bool // lame duck mode is on: clients are drained and kept away
+	NewConnectionsEnded bool // clients may be unable to open further connections
+	CloseAfterResponse  bool // each connection is closed after its response
 }
 
-// NewServer returns a Server that accepts nothing before Serve.
+// NewServer returns a Server that accepts no connections until Serve is called.
 func NewServer(options Options) *Server {
 	s := &Server{
 		connections: options.Listener,
@@ -78,16 +79,16 @@
 		Handler:           s,
 		ReadHeaderTimeout: headTimeout,
 		IdleTimeout:       idleTimeout,
-		WriteTimeout:      headTimeout + writeTimeout, // each response sets its own when it begins
+		WriteTimeout:      headTimeout + writeTimeout, // each response replaces it when it begins
 		MaxHeaderBytes:    clientconn.MaxHead,
 		ConnContext:       clientconn.ConnContext,
 		ConnState:         s.connections.TrackState,
-		ErrorLog:          slog.NewLogLogger(options.Log.Handler(), slog.LevelDebug), // remarks on broken clients
+		ErrorLog:          slog.NewLogLogger(options.Log.Handler(), slog.LevelDebug), // errors caused by clients
 	}
 	return s
 }
 
-// Serve accepts connections until the listener is closed. It returns the error of a listener that has failed.
+// Serve accepts connections until the listener is closed. It returns an error if the listener fails.
 func (s *Server) Serve() error {
 	defer close(s.serveDone)
 	err := s.http.Serve(s.connections)
@@ -97,7 +98,7 @@
 	return fmt.Errorf("serve: %w", err)
 }
 
-// ServeDone is closed when Serve has returned: nothing is accepted any more.
+// ServeDone returns a channel that is closed when Serve has returned, so that no more connections are accepted.
 func (s *Server) ServeDone() <-chan struct{} { return s.serveDone }
 
 // State returns what the server is doing.
@@ -111,7 +112,7 @@
 	}
 }
 
-// ServeHTTP answers a health check or has a request forwarded.
+// ServeHTTP answers a health check, or forwards a request and writes its response.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrivedAt := time.Now()
 	if r.URL.Path == healthPath {
@@ -129,16 +130,16 @@
 		request.ClientConnections, request.IdleConnections = stats.Open-stats.Unused, stats.Idle
 	}
 	s.dispatcher.Submit(request)
-	s.respond(w, r, request.Forwarded.Stream, s.await(r.Context(), request))
+	s.respond(w, r, request.Forwarded.Stream, s.awaitResponse(r.Context(), request))
 }
 
-// await returns the response to a request that has been submitted. Where none will come, or nobody is left to take it, it
-// panics to end the connection: a return would have net/http answer 200.
-func (s *Server) await(ctx context.Context, request *Request) Response {
+// awaitResponse waits for the response to a submitted request. If the client has disconnected or the dispatcher has
+// stopped, it panics to abort the connection, since returning would make net/http answer 200.
+func (s *Server) awaitResponse(ctx context.Context, request *Request) Response {
 	clientGone := ctx.Done()
 	var uploaded <-chan struct{}
 	if stream := request.Forwarded.Stream; stream != nil {
-		// Until the body has ended, its reader notices whether the client has gone or only pauses.
+		// Until the body has ended, the reader of the stream detects whether the client has disconnected or only paused.
 		clientGone, uploaded = nil, stream.Done()
 	}
 	for {
--- a/internal/downstream/server_test.go
+++ b/internal/downstream/server_test.go
@@ -14,7 +14,7 @@
 	"baylock/internal/timing"
 )
 
-// fakeDispatcher records what it gets and responds to nothing by itself.
+// fakeDispatcher records the submitted and canceled requests, and does not respond on its own.
 type fakeDispatcher struct {
 	ready     bool
 	submitted chan *Request
@@ -37,7 +37,7 @@
 func (d *fakeDispatcher) Ready() bool           { return d.ready }
 func (d *fakeDispatcher) Settings() Settings    { return fakeSettings{} }
 
-// fakeSettings have one class, look, and no tenants.
+// fakeSettings has one class, look, and no tenants.
 type fakeSettings struct{}
 
 func (fakeSettings) Class(name string) (balancer.Class, int, bool) {
@@ -66,7 +66,7 @@
 	return r
 }
 
-// serve has a server handle a request and reports whether it aborted the connection.
+// serve calls the server's handler with a request and reports whether it aborted the connection.
 func serve(s *Server, w http.ResponseWriter, r *http.Request) (aborted bool) {
 	defer func() {
 		if err := recover(); err != nil {
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestServerWritesResponseOfDispatcher(t *testing.T) {
+func TestServerWritesResponseFromDispatcher(t *testing.T) {
 	for name, c := range map[string]struct {
 		response Response
 		want     http.Header
@@ -145,11 +145,11 @@
 	}
 }
 
-func TestServerCancelsRequestOfGoneClient(t *testing.T) {
+func TestServerCancelsRequestOfDisconnectedClient(t *testing.T) {
 	d := newFakeDispatcher()
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	var submitted *Request
-	go func() { submitted = <-d.submitted; leave() }()
+	go func() { submitted = <-d.submitted; disconnect() }()
 	if !serve(newTestServer(d), httptest.NewRecorder(), newLookRequest(ctx)) {
 		t.Error("the connection was not aborted")
 	}
--- a/internal/proxy/console_test.go
+++ b/internal/proxy/console_test.go
@@ -286,7 +286,7 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	callConsole(t, p, "POST /_lameduck/on", "")
-	time.Sleep(downstream.LameDuckDelay + downstream.NewConnectionsPossible + 200*time.Millisecond)
+	time.Sleep(downstream.LameDuckDelay + downstream.NewConnectionWindow + 200*time.Millisecond)
 	for i, c := range []*testClient{kept, fresh} {
 		c.send(t, strings.Replace(head, "Request-Id: 1", fmt.Sprint("Request-Id: s", i), 1)[20:])
 		if resp, _ := c.readResponse(t); resp.StatusCode != 200 || !resp.Close {
