--- a/internal/clientconn/conn.go
+++ b/internal/clientconn/conn.go
@@ -11,22 +11,22 @@
 	"baylock/internal/socket"
 )
 
-// Conn is a client's connection. Its methods are safe for concurrent use.
+// Conn is a connection from a client. Its methods are safe for concurrent use.
 type Conn struct {
 	net.Conn
 	listener      *Listener
 	acceptedAt    time.Time
-	lastRead      atomic.Int64 // Unix nanoseconds; 0 before the first
+	lastRead      atomic.Int64 // Unix nanoseconds; 0 before the first read
 	servedRequest atomic.Bool
 	head          requestHead
 
-	// Guarded by the listener's mu. A connection that carries no request is an element of one of its lists.
+	// Guarded by the listener's mu. A connection without an open request is an element of one of the listener's lists.
 	list     *list.List // nil while a request is open
 	element  *list.Element
 	listedAt time.Time
 }
 
-// AcceptedAt is when the connection was accepted.
+// AcceptedAt returns when the connection was accepted.
 func (c *Conn) AcceptedAt() time.Time { return c.acceptedAt }
 
 // ServedRequest reports whether a request has been answered on the connection.
@@ -35,16 +35,19 @@
 // RequestStarted reports whether any bytes of the next request have arrived.
 func (c *Conn) RequestStarted() bool { return c.head.started() }
 
-// HasValidFraming reports whether the head of the present request has arrived and says in one way where its body ends.
+// HasValidFraming reports whether the head of the current request is complete and defines the end of the body in only
+// one way.
 func (c *Conn) HasValidFraming() bool { return c.head.hasValidFraming() }
 
-// RequestRead is called when all of a request has been read: what arrives next is the head of another.
+// RequestRead has to be called when a request has been read completely, so that the bytes after it are recorded as the
+// head of the next request.
 func (c *Conn) RequestRead() { c.head.reset() }
 
-// ClientGone reports whether the client has closed or reset the connection, also behind bytes that nobody has read yet.
+// ClientGone reports whether the client has closed or reset the connection, even if bytes that it sent before are still
+// unread.
 func (c *Conn) ClientGone() bool { return socket.PeerClosed(c) }
 
-// Read records when bytes arrive, and the heads of requests.
+// Read implements net.Conn. It also records when bytes arrive, and the heads of requests.
 func (c *Conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
@@ -55,18 +58,19 @@
 	return n, err
 }
 
-// CloseWrite lets net/http end its side first, so that a client that is still sending reads its error.
+// CloseWrite half-closes the connection. net/http calls it before it closes a connection, so that a client that is
+// still sending can read an error response.
 func (c *Conn) CloseWrite() error { return c.Conn.(interface{ CloseWrite() error }).CloseWrite() }
 
-// SyscallConn gives package socket access to the descriptor.
+// SyscallConn gives package socket access to the file descriptor.
 func (c *Conn) SyscallConn() (syscall.RawConn, error) {
 	return c.Conn.(syscall.Conn).SyscallConn()
 }
 
-// contextKey is the key of a request's connection in its context.
+// contextKey is the context key under which a request's connection is stored.
 type contextKey struct{}
 
-// ConnContext is for the field of this name of an http.Server that serves a Listener.
+// ConnContext is the value for the ConnContext field of an http.Server that serves a Listener.
 func ConnContext(ctx context.Context, connection net.Conn) context.Context {
 	return context.WithValue(ctx, contextKey{}, connection)
 }
--- a/internal/clientconn/evict.go
+++ b/internal/clientconn/evict.go
@@ -7,11 +7,13 @@
 	"baylock/internal/socket"
 )
 
-// unusedGrace protects an unused connection: its client may be about to send its first request.
+// unusedGrace is the age up to which an unused connection is evicted only if there is no idle one: its client may be
+// about to send the first request.
 const unusedGrace = 250 * time.Millisecond
 
-// evictLocked closes one connection that carries no request, and reports whether there was one: the oldest unused one
-// if it is older than unusedGrace, else the one that has been idle longest, else the oldest unused one after all.
+// evictLocked closes one connection without an open request, and reports whether it found one. It prefers the oldest
+// unused connection if that is older than unusedGrace, then the one that has been idle longest, then the oldest unused
+// one.
 func (l *Listener) evictLocked() bool {
 	now := time.Now()
 	if oldest := l.unused.Front(); oldest != nil && now.Sub(oldest.Value.(*Conn).listedAt) > unusedGrace &&
@@ -21,8 +23,8 @@
 	return l.evictFromLocked(l.idle, now) || l.evictFromLocked(l.unused, now)
 }
 
-// evictFromLocked spares connections on which bytes of a request have arrived that net/http has not reported yet:
-// closing them would lose it.
+// evictFromLocked closes the first connection of a list that can be closed without losing a request, and reports whether
+// it found one. It skips connections on which bytes have arrived that net/http has not reported as a request yet.
 func (l *Listener) evictFromLocked(candidates *list.List, now time.Time) bool {
 	for e := candidates.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*Conn)
@@ -35,9 +37,9 @@
 	return false
 }
 
-// CloseIdle closes the connections that have carried no request for idleFor since their last one, and the unused ones
-// older than unusedFor. Those on which bytes of a request have arrived stay, since closing them would lose it. It returns
-// how many connections remain, and how many of these carry a request.
+// CloseIdle closes the connections that have been idle for at least idleFor since their last request, and the unused ones
+// that are older than unusedFor. It keeps those on which bytes of a request have arrived, since closing them would lose
+// the request. It returns how many connections remain, and how many of these have an open request.
 func (l *Listener) CloseIdle(idleFor, unusedFor time.Duration) (remaining, active int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/clientconn/evict_test.go
+++ b/internal/clientconn/evict_test.go
@@ -11,12 +11,12 @@
 	"baylock/internal/socket"
 )
 
-// pair is both ends of a connection.
-type pair struct {
+// connPair holds both ends of a connection.
+type connPair struct {
 	client, server net.Conn
 }
 
-// listen returns a listener on loopback that is closed with the test.
+// listen returns a listener on the loopback interface that is closed when the test ends.
 func listen(t *testing.T, options Options) *Listener {
 	t.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,8 +28,8 @@
 	return l
 }
 
-// connect opens a connection, which the listener may have closed.
-func connect(t *testing.T, l *Listener) pair {
+// connect opens a connection and accepts it. The listener may have closed it to stay within its limit.
+func connect(t *testing.T, l *Listener) connPair {
 	t.Helper()
 	client := dialAndSend(t, l.Addr().String(), "")
 	server := make(chan net.Conn, 1)
@@ -38,16 +38,16 @@
 			server <- c
 		}
 	}()
-	return pair{client, backendtest.Receive(t, "accepted connection", server)}
+	return connPair{client, backendtest.Receive(t, "accepted connection", server)}
 }
 
-// isOpen reports whether the listener still has a connection.
-func (p pair) isOpen(l *Listener) bool {
+// isOpen reports whether the listener still has the connection open.
+func (p connPair) isOpen(l *Listener) bool {
 	return slices.ContainsFunc(l.Connections(), func(c *Conn) bool { return net.Conn(c) == p.server })
 }
 
-// receive has the server read what the client sends.
-func (p pair) receive(t *testing.T, text string) {
+// receive sends text from the client and reads it at the server.
+func (p connPair) receive(t *testing.T, text string) {
 	t.Helper()
 	if _, err := p.client.Write([]byte(text)); err != nil {
 		t.Fatal(err)
@@ -57,22 +57,22 @@
 	}
 }
 
-// setState brings a new connection into a state.
-type setState func(*testing.T, *Listener, pair)
+// setState puts a newly accepted connection into a state.
+type setState func(*testing.T, *Listener, connPair)
 
 func TestListenerEvictsConnectionWithoutRequest(t *testing.T) {
 	const requestGrace = time.Minute
-	idle := func(t *testing.T, l *Listener, p pair) {
+	idle := func(t *testing.T, l *Listener, p connPair) {
 		t.Helper()
 		l.TrackState(p.server, http.StateActive)
 		l.TrackState(p.server, http.StateIdle)
 	}
-	unused := func(*testing.T, *Listener, pair) {}
-	oldUnused := func(*testing.T, *Listener, pair) { time.Sleep(unusedGrace + 10*time.Millisecond) }
-	started := func(t *testing.T, _ *Listener, p pair) { t.Helper(); p.receive(t, "GET /") }
+	unused := func(*testing.T, *Listener, connPair) {}
+	oldUnused := func(*testing.T, *Listener, connPair) { time.Sleep(unusedGrace + 10*time.Millisecond) }
+	started := func(t *testing.T, _ *Listener, p connPair) { t.Helper(); p.receive(t, "GET /") }
 	for name, c := range map[string]struct {
 		states  [2]setState // of the connections, in the order in which they are opened
-		evicted int
+		evicted int         // index of the connection that is evicted for a third one
 	}{
 		"old unused before idle":       {[2]setState{oldUnused, idle}, 0},
 		"idle before young unused":     {[2]setState{unused, idle}, 1},
@@ -83,7 +83,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			l := listen(t, Options{MaxConnections: 2, RequestGrace: requestGrace})
-			var connections [2]pair
+			var connections [2]connPair
 			for i, state := range c.states {
 				connections[i] = connect(t, l)
 				state(t, l, connections[i])
@@ -154,11 +154,11 @@
 	backendtest.WaitUntil(t, func() bool { return !socket.IsQuiet(unread.server) }) // its bytes have arrived
 	for _, c := range []struct {
 		idleFor, unusedFor time.Duration
-		remaining          []pair
+		remaining          []connPair
 	}{
-		{time.Hour, time.Hour, []pair{active, idle, unused, started, unread}},
-		{0, time.Hour, []pair{active, unused, started, unread}},
-		{0, 0, []pair{active, started, unread}},
+		{time.Hour, time.Hour, []connPair{active, idle, unused, started, unread}},
+		{0, time.Hour, []connPair{active, unused, started, unread}},
+		{0, 0, []connPair{active, started, unread}},
 	} {
 		remaining, activeCount := l.CloseIdle(c.idleFor, c.unusedFor)
 		if remaining != len(c.remaining) || activeCount != 1 {
--- a/internal/clientconn/head.go
+++ b/internal/clientconn/head.go
@@ -7,28 +7,29 @@
 	"baylock/internal/message"
 )
 
-// MaxHead is the size in bytes up to which the head of a request is accepted.
+// MaxHead is the maximum size of a request's head in bytes.
 const MaxHead = 16 << 10
 
 var headEnd = []byte("\r\n\r\n")
 
-// requestHead records the head of a connection's next request as it arrives. What net/http makes of a head no longer
-// shows whether it gave two framings, so that the body may hide another request.
+// requestHead records the head of a connection's next request as it arrives. The http.Request that net/http makes of
+// the head no longer shows whether it contained both Content-Length and Transfer-Encoding. A body that is framed in
+// both ways may hide another request (request smuggling).
 type requestHead struct {
 	mu         sync.Mutex // guards the fields below
-	incomplete []byte     // what has arrived of a head that has not ended
+	incomplete []byte     // the bytes of the head so far, until it is complete
 	complete   bool
-	valid      bool // it is complete, and says in one way where its body ends
+	valid      bool // the head is complete, and defines the end of the body in only one way
 }
 
-// reset starts over for the next head.
+// reset prepares for the next request's head.
 func (h *requestHead) reset() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.incomplete, h.complete, h.valid = nil, false, false
 }
 
-// record takes bytes that have arrived.
+// record adds bytes that have arrived.
 func (h *requestHead) record(b []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/clientconn/head_test.go
+++ b/internal/clientconn/head_test.go
@@ -33,7 +33,7 @@
 			}
 			head.reset()
 			if head.started() || head.hasValidFraming() {
-				t.Error("reset leaves something of the head")
+				t.Error("reset did not clear the recorded head")
 			}
 		})
 	}
--- a/internal/clientconn/listener.go
+++ b/internal/clientconn/listener.go
@@ -1,4 +1,4 @@
-// Package clientconn accepts the connections of clients up to a limit and tracks which of them carry a request, so that
+// Package clientconn accepts client connections up to a limit and tracks which of them have an open request, so that the
 // others can be evicted or closed without losing a request.
 package clientconn
 
@@ -12,51 +12,52 @@
 	"baylock/internal/socket"
 )
 
-// RequestGrace is the usual value of Options.RequestGrace: net/http reports a complete head well within it.
+// RequestGrace is the usual value of Options.RequestGrace. net/http reports a complete head well within this time.
 const RequestGrace = 100 * time.Millisecond
 
-// Options are the properties of a Listener.
+// Options configures a Listener.
 type Options struct {
-	MaxConnections int // open at a time
+	MaxConnections int // maximum number of open connections
 
-	// RequestGrace protects a connection on which bytes of a request have arrived this lately from being evicted. With
-	// zero an incomplete request protects none.
+	// RequestGrace is how long a connection is protected from eviction after bytes of a request have arrived. If it is
+	// zero, an incomplete request that has been read does not protect its connection.
 	RequestGrace time.Duration
 
-	// WaitForCapacity has a new connection wait while none can be evicted, rather than be closed at once.
+	// WaitForCapacity makes a new connection wait while none can be evicted, instead of being closed at once.
 	WaitForCapacity bool
 }
 
-// Listener accepts connections up to a limit. At the limit it accepts further ones, and evicts a connection without a
-// request for each; left in the kernel's queue, a client with a request would wait behind idle ones. Where all carry
-// requests the new connection is closed, or waits if the Options say so.
+// Listener accepts connections up to a limit. At the limit it still accepts new connections, and evicts one without an
+// open request for each of them: if new connections were left in the kernel's accept queue, a client with a request
+// would wait behind idle ones. If all connections have open requests, the new connection is closed, or waits if
+// Options.WaitForCapacity is set.
 //
-// The ConnState of the http.Server that serves it has to call TrackState. The embedded listener has to be set before the
-// first Accept. All methods are safe for concurrent use.
+// The ConnState hook of the http.Server that serves it has to call TrackState. The embedded listener has to be set
+// before the first Accept. All methods are safe for concurrent use.
 type Listener struct {
 	net.Listener
 	requestGrace    time.Duration
 	waitForCapacity bool
-	capacity        chan struct{} // holds a value once there may be capacity for a connection that waits
+	capacity        chan struct{} // holds a value when there may be capacity for a waiting connection
 	closed          chan struct{} // closed with the listener
 	closeOnce       sync.Once
 
 	mu             sync.Mutex // guards the fields below
 	maxConnections int
 	connections    map[net.Conn]*Conn
-	unused         *list.List // of *Conn that have brought no request, the oldest first
+	unused         *list.List // of *Conn without any request so far, the oldest first
 	idle           *list.List // of *Conn between two requests, the one idle longest first
 }
 
-// Stats are the numbers of a listener's connections at one time.
+// Stats counts a listener's connections at one point in time.
 type Stats struct {
-	Max    int // open at a time at most
+	Max    int // limit of open connections
 	Open   int
-	Unused int // have brought no request yet
+	Unused int // without any request so far
 	Idle   int // between two requests
 }
 
-// NewListener returns a Listener that accepts from another.
+// NewListener returns a Listener that accepts connections from inner.
 func NewListener(inner net.Listener, options Options) *Listener {
 	return &Listener{
 		Listener:        inner,
@@ -85,7 +86,7 @@
 	}
 }
 
-// admitOrWait admits a connection, if need be after a wait for capacity. It returns nil if there is none.
+// admitOrWait admits a connection, and waits for capacity first if the options say so. It returns nil if there is none.
 func (l *Listener) admitOrWait(inner net.Conn) *Conn {
 	for {
 		if c := l.admit(inner); c != nil || !l.waitForCapacity {
@@ -99,6 +100,7 @@
 	}
 }
 
+// admit admits a connection if the limit allows it after evictions. Otherwise it returns nil.
 func (l *Listener) admit(inner net.Conn) *Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -113,7 +115,7 @@
 	return c
 }
 
-// signalCapacity has a connection that waits look again: another one has ended, or its bytes have been read.
+// signalCapacity makes a waiting connection retry, after another connection has ended or bytes on it have been read.
 func (l *Listener) signalCapacity() {
 	select {
 	case l.capacity <- struct{}{}:
@@ -121,13 +123,13 @@
 	}
 }
 
-// Close closes the listener; connections stay open.
+// Close closes the listener. Accepted connections stay open.
 func (l *Listener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
-// SetMaxConnections changes the limit. Connections over it that carry no request are closed.
+// SetMaxConnections changes the limit. Connections above the limit are closed if they have no open request.
 func (l *Listener) SetMaxConnections(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -136,8 +138,8 @@
 	}
 }
 
-// TrackState follows the states that net/http gives to a connection. A request is open from StateActive, when its head
-// has been read, to StateIdle, when its response has been written.
+// TrackState records a connection's state as reported by net/http. A request is open from StateActive, when its head has
+// been read, until StateIdle, when its response has been written.
 func (l *Listener) TrackState(connection net.Conn, state http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -156,7 +158,7 @@
 	}
 }
 
-// moveLocked makes a connection that carries no request the last of a list, or with nil takes it out of its list.
+// moveLocked removes a connection from its current list and, if target is not nil, appends it to that list.
 func (l *Listener) moveLocked(c *Conn, target *list.List) {
 	if c.list != nil {
 		c.list.Remove(c.element)
@@ -173,14 +175,14 @@
 	l.signalCapacity()
 }
 
-// Stats returns the present numbers of connections.
+// Stats returns the current numbers of connections.
 func (l *Listener) Stats() Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return Stats{Max: l.maxConnections, Open: len(l.connections), Unused: l.unused.Len(), Idle: l.idle.Len()}
 }
 
-// Connections returns the open connections, in no order.
+// Connections returns the open connections in no particular order.
 func (l *Listener) Connections() []*Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -191,5 +193,5 @@
 	return connections
 }
 
-// HasPending reports whether connections wait to be accepted. Closing the listener would reset them.
+// HasPending reports whether connections are waiting in the accept queue. Closing the listener would reset them.
 func (l *Listener) HasPending() bool { return socket.HasPendingConnections(l.Listener) }
--- a/internal/clientconn/listener_test.go
+++ b/internal/clientconn/listener_test.go
@@ -10,7 +10,7 @@
 	"baylock/internal/socket"
 )
 
-// dialAndSend opens a connection, which ends with the test, and writes to it.
+// dialAndSend opens a connection and writes text to it. The connection is closed when the test ends.
 func dialAndSend(t *testing.T, address, text string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -25,13 +25,13 @@
 	return c
 }
 
-// signalListener signals each connection that it accepts.
-type signalListener struct {
+// notifyingListener sends on accepted for each connection that it accepts.
+type notifyingListener struct {
 	net.Listener
 	accepted chan<- struct{}
 }
 
-func (l *signalListener) Accept() (net.Conn, error) {
+func (l *notifyingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
 		l.accepted <- struct{}{}
@@ -39,15 +39,15 @@
 	return c, err
 }
 
-// Bytes that nobody has read yet protect a connection from eviction, so that there may be no capacity for a moment.
-func TestListenerWithWaitForCapacityAdmitsConnectionAfterPeersAreRead(t *testing.T) {
+// Unread bytes protect a connection from eviction, so that there may be no capacity until the server has read them.
+func TestListenerWithWaitForCapacityAdmitsConnectionAfterOthersAreRead(t *testing.T) {
 	const partialRequest = "GET /_rea"
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	acceptedInner := make(chan struct{}, 3)
-	l := NewListener(&signalListener{inner, acceptedInner}, Options{MaxConnections: 2, WaitForCapacity: true})
+	l := NewListener(&notifyingListener{inner, acceptedInner}, Options{MaxConnections: 2, WaitForCapacity: true})
 	t.Cleanup(func() { l.Close() })
 	accepted := make(chan net.Conn, 3)
 	go func() {
--- a/internal/downstream/health.go
+++ b/internal/downstream/health.go
@@ -8,8 +8,8 @@
 
 const healthPath = "/_health"
 
-// Healthy reports whether new clients should use the proxy. After a hand-over, a health check may reach either the process
-// that is shutting down or its successor; both report healthy, as the proxy as a whole remains in service.
+// Healthy reports whether new clients should use the proxy. After a hand-over, a health check may reach either the
+// process that is shutting down or its successor; both report healthy, as the proxy as a whole remains in service.
 func (s *Server) Healthy() bool {
 	return s.dispatcher.Ready() && !s.lameDuck.Load() && (!s.draining.Load() || s.takenOver.Load())
 }
--- a/internal/downstream/respond.go
+++ b/internal/downstream/respond.go
@@ -56,8 +56,8 @@
 	_, _ = w.Write(response.Body) // fails if the client has disconnected, which needs no handling
 }
 
-// writeStream forwards a response as it arrives. If the response is cut short, writeStream aborts the connection, so that
-// the client notices.
+// writeStream forwards a response as it arrives. If the response is cut short, writeStream aborts the connection, so
+// that the client notices.
 func (s *Server) writeStream(w http.ResponseWriter, r *http.Request, response Response) {
 	stream, err := response.Stream, http.ErrAbortHandler
 	defer func() { stream.Done <- err }()
