--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads a proxy's configuration: the file, the environment that stands in for what the file lacks, and
-// the immutable snapshots of the part that a reload can change.
+// Package config reads a proxy's configuration from a file, with environment variables for keys that the file lacks,
+// and provides immutable snapshots of the part that a reload can change.
 package config
 
 import (
@@ -14,7 +14,7 @@
 	"baylock/internal/settings"
 )
 
-// Environment variables. All but the first two stand in for a key that the file lacks.
+// Environment variables. All but the first two provide the value of a key that is missing or empty in the file.
 const (
 	FileVariable      = "LB_CONFIG" // path of the configuration file
 	tempDirVariable   = "TMPDIR"
@@ -26,7 +26,7 @@
 
 const portBits = 16
 
-// Errors of Load for a configuration that lacks what every proxy needs.
+// Errors that Load returns if a mandatory part of the configuration is missing.
 var (
 	ErrNoFile     = errors.New(FileVariable + " is not set")
 	ErrNoAddress  = errors.New("listen or discovery is missing")
@@ -35,19 +35,20 @@
 
 // Config is the configuration of one proxy.
 type Config struct {
-	Name      string // the same after a restart
-	Listen    string // host:port where clients connect
-	Console   string // host:port where operators call; empty for no console
+	Name      string // unchanged by a restart
+	Listen    string // host:port for client connections
+	Console   string // host:port for operators; empty for no console
 	Discovery string // host:port of the discovery service
-	TempDir   string // folder that the processes of this proxy share; empty for none
-	Seed      uint64 // of random numbers
+	TempDir   string // directory that the processes of this proxy share; empty for none
+	Seed      uint64 // for random numbers
 	Limits    Limits
-	Version   string          // names the content of limits and settings
-	Known     *discovery.List // the endpoint list as last known, or nil
+	Version   string          // identifies the content of limits and settings
+	Known     *discovery.List // the last known endpoint list, used until discovery answers; nil if there is none
 	Site      *settings.Site
 }
 
-// CheckReload returns an error where a running process can't replace c with next, before NewSnapshot checks the rest.
+// CheckReload returns an error if a running process can't replace c with next, because the change needs a restart or
+// the discovery address is invalid. NewSnapshot checks the rest.
 func (c Config) CheckReload(next Config) error {
 	for _, fixed := range []struct{ key, running, next string }{
 		{"name", c.Name, next.Name},
@@ -68,7 +69,8 @@
 	return nil
 }
 
-// file is the configuration file. The bytes of limits and settings are kept, as they make up the version.
+// file is the configuration file. Limits and Settings stay undecoded, because the version is computed from their
+// JSON.
 type file struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -80,7 +82,7 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// Load reads the file that the environment names. Errors name the key at fault and its value.
+// Load reads the configuration file that LB_CONFIG names. Its errors name the invalid key and its value.
 func Load(getenv func(string) string) (Config, error) {
 	path := getenv(FileVariable)
 	if path == "" {
@@ -94,7 +96,7 @@
 	if err := json.Unmarshal(data, &f); err != nil {
 		return Config{}, fmt.Errorf("%s: %w", path, err)
 	}
-	f.completeFrom(getenv)
+	f.setMissingFromEnv(getenv)
 	if f.Listen == "" || f.Discovery == "" {
 		return Config{}, ErrNoAddress
 	}
@@ -118,8 +120,8 @@
 	return cfg, nil
 }
 
-// completeFrom takes from the environment what the file lacks.
-func (f *file) completeFrom(getenv func(string) string) {
+// setMissingFromEnv sets the fields that the file lacks from environment variables.
+func (f *file) setMissingFromEnv(getenv func(string) string) {
 	for _, field := range []struct {
 		value    *string
 		variable string
@@ -149,7 +151,7 @@
 	return site, nil
 }
 
-// parseKnown returns nil where the file has no list, or null.
+// parseKnown returns nil if the file has no endpoint list, or null.
 func parseKnown(data json.RawMessage) (*discovery.List, error) {
 	if len(data) == 0 || string(data) == "null" {
 		return nil, nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -14,7 +14,7 @@
 	`"try_limit":3},"membership_mode":"automatic","profiles":[{"give_up_us":8,"name":"look","objective_us":4,` +
 	`"repeat":"idempotent","worth":1}],"siblings":1}}`
 
-// loadText loads a file of this content, with the rest of the environment.
+// loadText writes a file with this content and loads it, with environment as the other environment variables.
 func loadText(t *testing.T, text string, environment map[string]string) (Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -70,7 +70,7 @@
 	}
 }
 
-// Each error is one line that names the key, and the value where there is one.
+// Each error is one line that names the invalid key, and its value if it has one.
 func TestLoadRejectsInvalidFile(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{validFile, ``, "unexpected end"},
@@ -106,11 +106,11 @@
 	}
 }
 
-func TestCheckReloadRejectsWhatNeedsRestart(t *testing.T) {
+func TestCheckReloadRejectsChangesThatNeedRestart(t *testing.T) {
 	running := Config{Name: "n", Listen: "l", Console: "c", Discovery: "127.0.0.1:1", Seed: 1}
 	for name, c := range map[string]struct {
 		edit func(*Config)
-		want string // of the error; empty for none
+		want string // prefix of the error; empty for none
 	}{
 		"nothing changed":   {func(*Config) {}, ""},
 		"seed":              {func(c *Config) { c.Seed = 2 }, ""},
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -8,21 +8,21 @@
 const (
 	defaultSockets = 1024
 
-	reservedSockets = 32 // descriptors of the process itself, for discovery and the console
-	minConnections  = 8  // on either side
+	reservedSockets      = 32 // file descriptors for the process itself, discovery and the console
+	minClientConnections = 8  // limits that leave fewer client connections are rejected
 
-	requestFraction     = 3 // one descriptor in this many is for the attempt of a request
-	idleBackendFraction = 3 // one idle connection to a backend for this many of those
+	attemptSocketDivisor  = 3 // one file descriptor in this many is for an attempt in flight
+	idleConnectionDivisor = 3 // one idle connection to a backend for this many attempts
 )
 
-// Limits is what the processes of a proxy may use together.
+// Limits are the resources that all processes of a proxy together may use.
 type Limits struct {
 	Sockets  int     `json:"sockets"`   // file descriptors
 	MemoryMB float64 `json:"memory_mb"` // in MiB; 0 for no limit
 	Cores    float64 `json:"cores"`     // 0 for no limit
 }
 
-// parseLimits reads the limits' object; data may be empty.
+// parseLimits decodes the limits object. data may be empty.
 func parseLimits(data json.RawMessage) (Limits, error) {
 	var l Limits
 	if len(data) > 0 {
@@ -48,28 +48,31 @@
 	return l, nil
 }
 
-// Halved returns what one of two processes may use. The cores stay, as the platform allots them anew.
+// Halved returns the limits of each of two concurrent processes. Cores is not halved, as the platform reallocates the
+// cores.
 func (l Limits) Halved() Limits {
 	return Limits{Sockets: l.Sockets / 2, MemoryMB: l.MemoryMB / 2, Cores: l.Cores}
 }
 
-// Connections divides the descriptors between the connections of clients and those to backends. Each open request has at
-// most one attempt in flight, and a third more connections to backends may be idle; clients get the rest.
+// Connections divides the file descriptors between client connections and connections to backends. Each open request has
+// at most one attempt in flight. Backends get one connection for each attempt and a third more that may be idle; clients
+// get the rest.
 func (l Limits) Connections() (clients, backends int) {
-	attempts := l.Sockets / requestFraction
-	backends = attempts + attempts/idleBackendFraction
+	attempts := l.Sockets / attemptSocketDivisor
+	backends = attempts + attempts/idleConnectionDivisor
 	return l.Sockets - reservedSockets - backends, backends
 }
 
-// ClientConnections returns how many connections clients may have: what Connections says, but a few at any rate.
+// ClientConnections returns how many connections clients may have: the number from Connections, but at least
+// minClientConnections.
 func (l Limits) ClientConnections() int {
 	clients, _ := l.Connections()
-	return max(clients, minConnections)
+	return max(clients, minClientConnections)
 }
 
-// check returns an error where the descriptors are too few to serve.
+// check returns an error if there are too few file descriptors to serve clients.
 func (l Limits) check() error {
-	if clients, _ := l.Connections(); clients < minConnections {
+	if clients, _ := l.Connections(); clients < minClientConnections {
 		return fmt.Errorf("%d sockets are too few", l.Sockets)
 	}
 	return nil
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -9,35 +9,36 @@
 	"baylock/internal/settings"
 )
 
-// timeLayout shows operators when a snapshot was taken, in UTC.
+// timeLayout is the format of the time, in UTC, at which a snapshot was taken.
 const timeLayout = "2006-01-02T15:04:05.000Z"
 
-// NoTenant is the index of a tenant that the settings don't name.
+// NoTenant is the index of a tenant that is not listed in the settings.
 const NoTenant = -1
 
-// Snapshot is the part of a configuration that a reload can change, checked and ready for use. It is never changed: a
-// reload puts another one in its place, and each request is parsed and taken under one of them.
+// Snapshot is the part of a configuration that a reload can change, validated and ready for use. It is immutable: a
+// reload replaces it with a new one, and each request is parsed and handled with a single snapshot.
 type Snapshot struct {
 	Site     *settings.Site
-	Balancer balancer.Settings // the site's, with the zone numbers of the process's start
+	Balancer balancer.Settings // the site's, with the zone numbers assigned at the start of the process
 	Limits   Limits
-	Version  string // names the content of limits and settings
+	Version  string // identifies the content of limits and settings
 	TakenAt  time.Time
 
 	classes         map[string]int // indices by name
 	tenants         map[string]int
-	longestDeadline time.Duration // of the classes
+	longestDeadline time.Duration // over all classes
 	earlier         earlierDeadline
 }
 
-// earlierDeadline is the longest deadline of requests that arrived under earlier snapshots, until the last has passed.
+// earlierDeadline is the longest deadline of the requests that arrived under earlier snapshots. It applies until the
+// deadlines of all of them have passed.
 type earlierDeadline struct {
 	longest time.Duration
 	until   time.Time
 }
 
-// NewSnapshot checks all of a configuration but what the balancer checks itself. previous is the snapshot that the new
-// one is to replace, or nil at the start; zones are those of the start.
+// NewSnapshot validates a configuration, except for what the balancer validates itself. previous is the snapshot that
+// the new one replaces, or nil at the start of the process; zones are those assigned at the start.
 func NewSnapshot(cfg Config, zones discovery.Zones, previous *Snapshot) (*Snapshot, error) {
 	if err := cfg.Site.CheckSockets(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -51,13 +52,14 @@
 		Limits:   cfg.Limits,
 		Version:  cfg.Version,
 		TakenAt:  time.Now(),
-		classes:  indices(cfg.Site.Classes),
-		tenants:  indices(cfg.Site.Tenants),
+		classes:  indexByName(cfg.Site.Classes),
+		tenants:  indexByName(cfg.Site.Tenants),
 	}
 	for _, c := range s.Balancer.Classes {
 		s.longestDeadline = max(s.longestDeadline, c.Deadline.Duration())
 	}
-	// The balancer compares endpoints and attempts by their zones' numbers, so these hold for the life of the process.
+	// The balancer compares the zones of endpoints and attempts by number, so the numbers must not change while the
+	// process runs.
 	if z := s.Balancer.Zone; z >= 0 && z < len(cfg.Site.Zones) {
 		s.Balancer.Zone = zones.Number(cfg.Site.Zones[z])
 		s.Balancer.Zones = max(s.Balancer.Zones, s.Balancer.Zone+1)
@@ -68,7 +70,7 @@
 	return s, nil
 }
 
-// Class returns a class of Balancer.Classes and its index there.
+// Class returns the class with this name and its index in Balancer.Classes.
 func (s *Snapshot) Class(name string) (class balancer.Class, index int, ok bool) {
 	index, ok = s.classes[name]
 	if !ok {
@@ -77,7 +79,7 @@
 	return s.Balancer.Classes[index], index, true
 }
 
-// TenantIndex returns the index of a tenant in Balancer.Tenants, or NoTenant.
+// TenantIndex returns the index of the tenant with this name in Balancer.Tenants, or NoTenant.
 func (s *Snapshot) TenantIndex(name string) int {
 	if index, ok := s.tenants[name]; ok {
 		return index
@@ -85,7 +87,7 @@
 	return NoTenant
 }
 
-// LongestDeadline returns the longest deadline of requests that may be open at a time after TakenAt.
+// LongestDeadline returns the longest deadline of the requests that may be open at now, which must be after TakenAt.
 func (s *Snapshot) LongestDeadline(now time.Time) time.Duration {
 	if now.Before(s.earlier.until) {
 		return max(s.longestDeadline, s.earlier.longest)
@@ -93,7 +95,8 @@
 	return s.longestDeadline
 }
 
-// openDeadline returns the longest deadline of requests that may be open at a time after TakenAt.
+// openDeadline returns what a snapshot that replaces s at now has to keep: the longest deadline of the requests that
+// may be open then, and when the last of them has passed its deadline.
 func (s *Snapshot) openDeadline(now time.Time) earlierDeadline {
 	until := now.Add(s.longestDeadline)
 	if s.earlier.until.After(until) {
@@ -102,15 +105,16 @@
 	return earlierDeadline{longest: s.LongestDeadline(now), until: until}
 }
 
-// String returns what operators see of the settings in force.
+// String describes the settings in force to operators.
 func (s *Snapshot) String() string {
 	return fmt.Sprintf("settings=%s taken=%s", s.Version, s.TakenAt.UTC().Format(timeLayout))
 }
 
-func indices(names []string) map[string]int {
-	byName := make(map[string]int, len(names))
+// indexByName maps each name to its index.
+func indexByName(names []string) map[string]int {
+	indices := make(map[string]int, len(names))
 	for i, name := range names {
-		byName[name] = i
+		indices[name] = i
 	}
-	return byName
+	return indices
 }
--- a/internal/config/snapshot_test.go
+++ b/internal/config/snapshot_test.go
@@ -24,7 +24,7 @@
 	return site
 }
 
-// takeSnapshot returns the snapshot of a site that replaces another, which may be nil.
+// takeSnapshot returns a snapshot of the site's settings that replaces previous, which may be nil.
 func takeSnapshot(t *testing.T, site *settings.Site, zones discovery.Zones, previous *Snapshot) *Snapshot {
 	t.Helper()
 	s, err := NewSnapshot(Config{Limits: Limits{Sockets: 200}, Site: site}, zones, previous)
@@ -34,7 +34,7 @@
 	return s
 }
 
-// Zones keep their numbers in whatever order settings name them, and so do those that only later settings name.
+// Zones keep their numbers whatever the order in the settings, including zones that only later settings list.
 func TestSnapshotKeepsZoneNumbers(t *testing.T) {
 	zones := discovery.NewZones([]string{"a", "b"})
 	site := decodeSite(t)
@@ -48,27 +48,27 @@
 		return s.Balancer.Zone
 	}
 	if a, b := number(0, "a", "b"), number(1, "a", "b"); a != 0 || b != 1 {
-		t.Errorf("a is %d, b is %d", a, b)
+		t.Errorf("zone a has number %d, zone b %d", a, b)
 	}
 	if got := number(0, "b", "a"); got != 1 {
-		t.Errorf("b is now %d", got)
+		t.Errorf("zone b has changed its number to %d", got)
 	}
 	server := zones.Endpoints([]discovery.Endpoint{{Name: "s", Zone: "c"}})[0]
 	if got := number(2, "b", "a", "c"); got != server.Zone {
-		t.Errorf("c is %d, its endpoints are in %d", got, server.Zone)
+		t.Errorf("zone c has number %d, its endpoint is in zone %d", got, server.Zone)
 	}
 }
 
 func TestSnapshotFindsClassesAndTenantsByName(t *testing.T) {
 	s := takeSnapshot(t, decodeSite(t), discovery.NewZones(nil), nil)
 	if class, i, ok := s.Class("post"); !ok || i != 1 || class.Idempotency != balancer.NotIdempotent {
-		t.Errorf("post is %d, %v", i, ok)
+		t.Errorf("class post: got index %d, found %v", i, ok)
 	}
 	if _, _, ok := s.Class("none"); ok {
-		t.Error("an unknown class has an index")
+		t.Error("an unknown class was found")
 	}
 	if a, b := s.TenantIndex("acme"), s.TenantIndex("none"); a != 0 || b != NoTenant {
-		t.Errorf("tenants are %d and %d", a, b)
+		t.Errorf("tenant indices: got %d and %d", a, b)
 	}
 }
 
@@ -83,9 +83,9 @@
 	second := takeSnapshot(t, short, zones, first)
 	third := takeSnapshot(t, short, zones, second)
 	for name, c := range map[string]struct {
-		of   *Snapshot
-		at   time.Time
-		want time.Duration
+		snapshot *Snapshot
+		at       time.Time
+		want     time.Duration
 	}{
 		"first":                        {first, first.TakenAt, before},
 		"second at once":               {second, second.TakenAt, before},
@@ -94,7 +94,7 @@
 		"third after it":               {third, second.TakenAt.Add(before), after},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := c.of.LongestDeadline(c.at); got != c.want {
+			if got := c.snapshot.LongestDeadline(c.at); got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
