--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,4 +1,5 @@
-// Package admin is the operators' console: HTTP calls, one to a connection, that have a proxy do something.
+// Package admin implements the operators' console, an HTTP server whose calls control a proxy. Each connection carries
+// one call.
 package admin
 
 import (
@@ -15,8 +16,8 @@
 
 // Limits of the console.
 const (
-	MaxConnections   = 12  // at a time; those without a complete call are evicted for others
-	MaxBodyBytes     = 512 // of a call
+	MaxConnections   = 12  // open at a time; those without a complete call are evicted to admit others
+	MaxBodyBytes     = 512 // limit for the body of a call
 	OperationTimeout = 900 * time.Millisecond
 
 	maxHeadBytes = 4 << 10
@@ -25,18 +26,20 @@
 	writeTimeout = 4 * time.Second
 )
 
-// ErrUnknownBackend is returned by Operations for an ID that no backend has.
+// ErrUnknownBackend is returned by Operations if no backend has the given ID.
 var ErrUnknownBackend = errors.New("no backend has this id")
 
-// Operations is what operators can have a proxy do. A method that returns nil has done it. An error other than
-// ErrUnknownBackend means that the proxy can't at present; its text is the answer's line.
+// Operations are the operations of a proxy that operators can request. A method returns nil after the operation has
+// succeeded. An error other than ErrUnknownBackend means that the proxy can't perform the operation at present; its text
+// is sent to the operator.
 type Operations interface {
-	// Ready returns one line on the settings in force, or an error while the process doesn't serve.
+	// Ready returns a one-line description of the settings in force, or an error while the process doesn't serve
+	// requests.
 	Ready() (settings string, err error)
-	// Detach keeps new requests from a backend until Attach.
+	// Detach stops new requests from being sent to a backend until Attach is called for it.
 	Detach(ctx context.Context, backendID string) error
 	Attach(ctx context.Context, backendID string) error
-	// SetLameDuck drains the proxy of clients, or takes it back into service.
+	// SetLameDuck drains the proxy of clients, or returns it to service.
 	SetLameDuck(ctx context.Context, on bool) error
 }
 
@@ -48,9 +51,9 @@
 	log         *slog.Logger
 }
 
-// NewServer returns a server that has calls carried out. It is to listen, and then to serve.
+// NewServer returns a server whose calls run operations. Listen has to be called before Serve.
 func NewServer(operations Operations, log *slog.Logger) *Server {
-	// Without a RequestGrace incomplete calls are evicted, however new.
+	// Without a RequestGrace, connections with incomplete calls can be evicted at any age.
 	connections := clientconn.NewListener(nil, clientconn.Options{MaxConnections: MaxConnections, WaitForCapacity: true})
 	s := &Server{connections: connections, calls: newCalls(operations), log: log}
 	s.server = &http.Server{
@@ -61,7 +64,8 @@
 		MaxHeaderBytes:    maxHeadBytes,
 		ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		ConnContext:       clientconn.ConnContext,
-		// A connection is active from when its call is complete, see handle: one that waits for a body can be evicted.
+		// A connection becomes active when handle has read the complete call, so that one that still waits for the body
+		// can be evicted.
 		ConnState: func(connection net.Conn, state http.ConnState) {
 			if state != http.StateActive {
 				connections.TrackState(connection, state)
@@ -72,23 +76,23 @@
 	return s
 }
 
-// Listen opens the listener at host:port.
+// Listen opens the listener on address, in the form host:port.
 func (s *Server) Listen(address string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return fmt.Errorf("listen for operators: %w", err)
+		return fmt.Errorf("console: cannot listen: %w", err)
 	}
 	s.connections.Listener = listener
 	return nil
 }
 
-// Addr returns the address at which the server listens.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() net.Addr { return s.connections.Addr() }
 
-// OpenConnections returns the number of connections that are open.
+// OpenConnections returns the number of open connections.
 func (s *Server) OpenConnections() int { return s.connections.Stats().Open }
 
-// Serve answers calls until Close, or returns the error of the listener.
+// Serve answers calls until Close is called. It returns an error if the listener fails.
 func (s *Server) Serve() error {
 	err := s.server.Serve(s.connections)
 	if !errors.Is(err, net.ErrClosed) && !errors.Is(err, http.ErrServerClosed) {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// fakeOperations records the calls that reach it, and fails where it has an error.
+// fakeOperations records the operations that are run, and returns err from each of them.
 type fakeOperations struct {
 	err      error
 	settings string
@@ -35,8 +35,8 @@
 	return f.err
 }
 
-// taken returns the calls since the last time.
-func (f *fakeOperations) taken() []string {
+// takeCalls returns the calls that have been recorded since the previous takeCalls.
+func (f *fakeOperations) takeCalls() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	calls := f.calls
@@ -76,25 +76,25 @@
 	return b.buffer.String()
 }
 
-// startServer starts a server that ends with the test, and returns its address.
+// startServer starts a server that is closed when the test ends, and returns its address.
 func startServer(t *testing.T, operations Operations, log io.Writer) string {
 	t.Helper()
 	s := NewServer(operations, slog.New(slog.NewTextHandler(log, nil)))
 	if err := s.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- s.Serve() }()
+	serveResult := make(chan error, 1)
+	go func() { serveResult <- s.Serve() }()
 	t.Cleanup(func() {
 		s.Close()
-		if err := <-ended; err != nil {
+		if err := <-serveResult; err != nil {
 			t.Error(err)
 		}
 	})
 	return s.Addr().String()
 }
 
-// request makes a call and returns the answer.
+// request makes a call and returns the response and its body.
 func request(t *testing.T, address, method, path, body string) (resp *http.Response, line string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+address+path, strings.NewReader(body))
@@ -112,7 +112,7 @@
 	return resp, string(answer)
 }
 
-func TestServerCarriesOutCalls(t *testing.T) {
+func TestServerRunsCalls(t *testing.T) {
 	operations := &fakeOperations{settings: "settings=1"}
 	address := startServer(t, operations, io.Discard)
 	for _, c := range []struct {
@@ -131,8 +131,8 @@
 			if resp.StatusCode != 200 || line != c.line || !resp.Close {
 				t.Errorf("got %s %q, close %v", resp.Status, line, resp.Close)
 			}
-			if calls := operations.taken(); !slices.Equal(calls, c.calls) {
-				t.Errorf("carried out %q", calls)
+			if calls := operations.takeCalls(); !slices.Equal(calls, c.calls) {
+				t.Errorf("ran %q", calls)
 			}
 		})
 	}
@@ -148,9 +148,9 @@
 	}{
 		"unknown path":    {"GET", "/", "", 404, "no such call\n"},
 		"query":           {"GET", "/_ready?x=1", "", 404, "no such call\n"},
-		"wrong method":    {"GET", "/_backends/detach", "", 405, "the call is POST\n"},
-		"missing id":      {"POST", "/_backends/detach", "", 400, "the body has to hold the id of a backend, or nothing where none is named\n"},
-		"body not wanted": {"POST", "/_lameduck/on", "now", 400, "the body has to hold the id of a backend, or nothing where none is named\n"},
+		"wrong method":    {"GET", "/_backends/detach", "", 405, "the call requires method POST\n"},
+		"missing id":      {"POST", "/_backends/detach", "", 400, "the body must be the id of a backend, or empty if the call takes none\n"},
+		"body not wanted": {"POST", "/_lameduck/on", "now", 400, "the body must be the id of a backend, or empty if the call takes none\n"},
 		"body too large":  {"POST", "/_backends/attach", strings.Repeat("a", MaxBodyBytes+1), 413, "the body is too large\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -163,12 +163,12 @@
 			}
 		})
 	}
-	if calls := operations.taken(); len(calls) > 0 {
-		t.Errorf("carried out %q", calls)
+	if calls := operations.takeCalls(); len(calls) > 0 {
+		t.Errorf("ran %q", calls)
 	}
 }
 
-func TestServerAnswersFailedOperationWithItsError(t *testing.T) {
+func TestServerReturnsErrorOfFailedOperation(t *testing.T) {
 	for _, c := range []struct {
 		err    error
 		status int
@@ -191,8 +191,8 @@
 	}
 }
 
-// docs/oncall.md tells what is logged.
-func TestServerLogsCallsButReady(t *testing.T) {
+// docs/oncall.md documents the log lines.
+func TestServerLogsCallsExceptReady(t *testing.T) {
 	var log lockedBuffer
 	address := startServer(t, &fakeOperations{}, &log)
 	request(t, address, "GET", "/_ready", "")
@@ -203,7 +203,7 @@
 	}
 }
 
-func TestServerAnswersIncompleteBody(t *testing.T) {
+func TestServerRejectsIncompleteBody(t *testing.T) {
 	address := startServer(t, &fakeOperations{}, io.Discard)
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -214,7 +214,7 @@
 		t.Fatal(err)
 	}
 	answer, _ := io.ReadAll(c) // the connection may be reset, as its body is incomplete
-	if !strings.HasPrefix(string(answer), "HTTP/1.1 400 ") || !strings.HasSuffix(string(answer), "the body broke off\n") {
+	if !strings.HasPrefix(string(answer), "HTTP/1.1 400 ") || !strings.HasSuffix(string(answer), "the body is incomplete or malformed\n") {
 		t.Errorf("got %q", answer)
 	}
 }
@@ -222,7 +222,7 @@
 func TestListenFailsOnAddressInUse(t *testing.T) {
 	address := startServer(t, &fakeOperations{}, io.Discard)
 	err := NewServer(&fakeOperations{}, slog.New(slog.DiscardHandler)).Listen(address)
-	if err == nil || !strings.Contains(err.Error(), "listen for operators: ") {
+	if err == nil || !strings.Contains(err.Error(), "console: cannot listen: ") {
 		t.Errorf("got %v", err)
 	}
 }
--- a/internal/admin/calls.go
+++ b/internal/admin/calls.go
@@ -20,13 +20,13 @@
 	lameDuckOffPath = "/_lameduck/off"
 )
 
-// succeededLine is the answer to a call that was carried out.
+// succeededLine is the response to a successful call.
 const succeededLine = "ok"
 
 // call is one of the console's calls.
 type call struct {
 	method       string
-	takesBackend bool // its body is the ID of a backend
+	takesBackend bool // the call's body is the ID of a backend
 	run          func(ctx context.Context, backendID string) (line string, err error)
 }
 
@@ -60,7 +60,7 @@
 	}}
 }
 
-// callError is why a call is invalid, with the status of its answer.
+// callError is the reason why a call is invalid, and the HTTP status of the response.
 type callError struct {
 	status int
 	reason string
@@ -68,7 +68,7 @@
 
 func (e *callError) Error() string { return e.reason }
 
-// status returns the status of the answer to a call that failed.
+// status returns the HTTP status of the response to a failed call.
 func status(err error) int {
 	if e, ok := errors.AsType[*callError](err); ok {
 		return e.status
@@ -92,10 +92,11 @@
 	setBodyDeadline(w) // the rest of a body may never arrive
 	w.Header().Set("Content-Type", "text/plain")
 	w.WriteHeader(code)
-	_, _ = io.WriteString(w, line+"\n") // fails where the caller has gone
+	_, _ = io.WriteString(w, line+"\n") // fails if the caller has disconnected
 }
 
-// handle reads a call and carries it out. It returns the backend that the call names, if any, and the answer's line.
+// handle reads a call and runs it. It returns the ID of the backend that the call names, if any, and the response
+// line.
 func (s *Server) handle(w http.ResponseWriter, r *http.Request) (backendID, line string, err error) {
 	c, ok := s.calls[r.RequestURI]
 	if !ok {
@@ -103,7 +104,7 @@
 	}
 	if r.Method != c.method {
 		w.Header().Set("Allow", c.method)
-		return "", "", &callError{http.StatusMethodNotAllowed, "the call is " + c.method}
+		return "", "", &callError{http.StatusMethodNotAllowed, "the call requires method " + c.method}
 	}
 	if backendID, err = readBackendID(w, r, c.takesBackend); err != nil {
 		return "", "", err
@@ -117,20 +118,21 @@
 	return backendID, line, err
 }
 
-// readBackendID reads a call's body, which is empty unless it has to name a backend.
-func readBackendID(w http.ResponseWriter, r *http.Request, wanted bool) (string, error) {
+// readBackendID reads a call's body. If required is true, the body has to be the ID of a backend; otherwise it has
+// to be empty.
+func readBackendID(w http.ResponseWriter, r *http.Request, required bool) (string, error) {
 	setBodyDeadline(w)
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBodyBytes))
 	if errors.As(err, new(*http.MaxBytesError)) {
 		return "", &callError{http.StatusRequestEntityTooLarge, "the body is too large"}
 	}
 	if err != nil {
-		return "", &callError{http.StatusBadRequest, "the body broke off"}
+		return "", &callError{http.StatusBadRequest, "the body is incomplete or malformed"}
 	}
 	id := strings.TrimSpace(string(body))
-	if wanted == (id == "") {
+	if required == (id == "") {
 		return "", &callError{http.StatusBadRequest,
-			"the body has to hold the id of a backend, or nothing where none is named"}
+			"the body must be the id of a backend, or empty if the call takes none"}
 	}
 	return id, nil
 }
