--- a/cmd/baylock/main.go
+++ b/cmd/baylock/main.go
@@ -21,10 +21,11 @@
 	}
 }
 
-// run serves until SIGTERM or an interrupt, and reads the configuration again at each SIGHUP.
+// run serves until SIGTERM or SIGINT, and reloads the configuration at each SIGHUP.
 func run() error {
-	// Signals are caught first and until the end: unhandled, either would kill the process with its open requests.
-	reloads := make(chan os.Signal, 1) // the file is read after the last signal, so one pending is enough
+	// The signal handlers are installed first and stay until the end. Without a handler, SIGHUP or SIGTERM would kill the
+	// process together with its open requests.
+	reloads := make(chan os.Signal, 1) // one pending reload is enough, as the file is read after the signal
 	signal.Notify(reloads, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -54,7 +55,7 @@
 	return p.Run(ctx)
 }
 
-// reload loads the configuration and has apply put it in force. One that is rejected changes nothing and is logged.
+// reload loads the configuration and passes it to apply. A configuration that is rejected is logged and changes nothing.
 func reload(getenv func(string) string, apply func(config.Config) error, log *slog.Logger) {
 	cfg, err := config.Load(getenv)
 	if err == nil {
--- a/cmd/baylock/main_test.go
+++ b/cmd/baylock/main_test.go
@@ -25,7 +25,7 @@
 	`"try_limit":3},"membership_mode":"automatic","profiles":[{"give_up_us":8,"name":"look","objective_us":4,` +
 	`"repeat":"idempotent","worth":1}],"siblings":1}}`
 
-// startProxy starts a proxy with the configuration in a file. It ends with the test.
+// startProxy starts a proxy with the configuration in a file. The proxy is stopped when the test ends.
 func startProxy(t *testing.T, path string, log *slog.Logger) *proxy.Proxy {
 	t.Helper()
 	cfg, err := config.Load(environment(path))
@@ -48,7 +48,7 @@
 	return p
 }
 
-// environment names a configuration file and nothing else.
+// environment returns a getenv function for an environment that sets only LB_CONFIG.
 func environment(path string) func(string) string {
 	return func(name string) string {
 		if name == "LB_CONFIG" {
@@ -58,18 +58,18 @@
 	}
 }
 
-func write(t *testing.T, path, text string) {
+func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// After SIGHUP the file is read again. What is invalid, or can't change while the proxy runs, is one line in the log and
-// changes nothing.
+// A reload reads the file again. If the configuration is invalid, or differs in what can't change while the proxy runs, the
+// reload logs one line and changes nothing.
 func TestReloadAppliesOrRejectsConfiguration(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	write(t, path, validFile)
+	writeFile(t, path, validFile)
 	var logged settingsLog
 	log := slog.New(slog.NewTextHandler(&logged, nil))
 	p := startProxy(t, path, log)
@@ -86,7 +86,7 @@
 		{"incomplete", validFile, validFile[:99], "unexpected end"},
 		{"empty", validFile, "", "unexpected end"},
 		{"discovery without port", "127.0.0.1:1", "nowhere", "discovery"},
-		{"discovery port no number", "127.0.0.1:1", "127.0.0.1:port", "discovery"},
+		{"discovery port not numeric", "127.0.0.1:1", "127.0.0.1:port", "discovery"},
 		{"listen", "127.0.0.1:0", "127.0.0.1:9", "listen"},
 		{"name", `"n3"`, `"n4"`, "name"},
 		{"no replica", `"siblings":1`, `"siblings":0`, "Replicas"},
@@ -97,10 +97,10 @@
 		{"replicas", `"siblings":1`, `"siblings":2`, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			write(t, path, strings.Replace(validFile, c.old, c.new, 1))
+			writeFile(t, path, strings.Replace(validFile, c.old, c.new, 1))
 			reload(environment(path), apply, log)
 			lines := logged.lines()
-			if len(lines) != 2+i { // one at the start
+			if len(lines) != 2+i { // one line is logged at the start
 				t.Fatalf("logged %q", lines)
 			}
 			line := lines[len(lines)-1]
@@ -110,17 +110,17 @@
 		})
 	}
 	if want := []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:1"}; !slices.Equal(addresses, want) {
-		t.Errorf("discovery at %q", addresses)
+		t.Errorf("discovery addresses %q", addresses)
 	}
 	lines := logged.lines()
-	// What docs/oncall.md has operators compute from the two files.
+	// docs/oncall.md tells operators how to compute these versions from the two files.
 	if first, last := lines[0], lines[len(lines)-1]; !strings.Contains(first, "version=d693ccca0c79 ") ||
 		!strings.Contains(last, "version=344e844e1259 ") {
 		t.Errorf("the first line is %q, the last one %q", first, last)
 	}
 }
 
-// From the signal to what a client sees. After several signals the last file counts.
+// Covers a reload from the signal to the responses that clients get. After several signals the last file is in force.
 func TestRunReloadsFileOnSIGHUP(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -130,12 +130,12 @@
 	l.Close()
 	path := filepath.Join(t.TempDir(), "config.json")
 	text := strings.Replace(validFile, "127.0.0.1:0", addr, 1)
-	write(t, path, text)
+	writeFile(t, path, text)
 	t.Setenv("LB_CONFIG", path)
 	ended := make(chan error, 1)
 	go func() { ended <- run() }()
-	// known tells whether the proxy knows a class: it answers 400 for one that it does not.
-	known := func(class string) bool {
+	// classKnown reports whether the proxy knows a class. It responds with 400 to an unknown one.
+	classKnown := func(class string) bool {
 		req, err := http.NewRequest(http.MethodGet, "http://"+addr+"/"+class+"/k", nil)
 		if err != nil {
 			t.Fatal(err)
@@ -150,11 +150,11 @@
 		resp.Body.Close()
 		return resp.StatusCode != http.StatusBadRequest
 	}
-	until := func(what string, ok func() bool) {
+	waitUntil := func(what string, ok func() bool) {
 		t.Helper()
-		for end := time.Now().Add(patience); !ok(); time.Sleep(5 * time.Millisecond) {
+		for end := time.Now().Add(testTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("never: %s", what)
+				t.Fatalf("timed out waiting until %s", what)
 			}
 		}
 	}
@@ -164,17 +164,17 @@
 			t.Fatal(err)
 		}
 	}
-	until("it serves", func() bool { return known("look") })
-	if known("c9") {
-		t.Error("a class of nowhere is known")
+	waitUntil("the proxy serves", func() bool { return classKnown("look") })
+	if classKnown("c9") {
+		t.Error("a class that is in no file yet is known")
 	}
 	for i := range 10 {
-		write(t, path, strings.Replace(text, `"name":"look"`, fmt.Sprintf(`"name":"c%d"`, i), 1))
+		writeFile(t, path, strings.Replace(text, `"name":"look"`, fmt.Sprintf(`"name":"c%d"`, i), 1))
 		signal(syscall.SIGHUP)
 	}
-	until("the last file is in force", func() bool { return known("c9") })
-	if known("look") || known("c8") {
-		t.Error("a class of earlier files is known")
+	waitUntil("the last file is in force", func() bool { return classKnown("c9") })
+	if classKnown("look") || classKnown("c8") {
+		t.Error("a class of an earlier file is known")
 	}
 	signal(syscall.SIGTERM)
 	if err := <-ended; err != nil {
@@ -182,9 +182,9 @@
 	}
 }
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// settingsLog collects the log lines about configurations.
+// settingsLog collects the log lines about loaded and rejected configurations.
 type settingsLog struct {
 	mu        sync.Mutex
 	collected []string
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -9,14 +9,15 @@
 	"baylock/internal/upstream"
 )
 
-// attempt is an upstream attempt of a request. The loop owns it, but for the methods of upstream.Observer.
+// attempt is one attempt to send a request to an endpoint. Only the event loop uses it, except for the upstream.Observer
+// methods, which the attempt's own goroutine calls.
 type attempt struct {
 	*upstream.Attempt
 	loop            *eventLoop
 	request         *request
-	number          int                   // counts the request's attempts from 0
-	sentAt          balancer.Microseconds // when the balancer decided, or when the last byte of a streamed request was written
-	responseTimeout time.Duration         // for the response to a streamed request, from its last byte
+	number          int                   // index among the request's attempts, from 0
+	sentAt          balancer.Microseconds // when the balancer sent it, or when the last byte of a streamed request was written
+	responseTimeout time.Duration         // for the response to a streamed request, counted from its last byte
 	cancel          context.CancelFunc    // set while the attempt is in flight
 	forwarding      bool                  // the response is being forwarded
 }
--- a/internal/proxy/body_test.go
+++ b/internal/proxy/body_test.go
@@ -65,7 +65,7 @@
 // Long bodies are forwarded unchanged both ways, in every framing and however they are cut, on a connection that is kept.
 func TestProxyForwardsBodiesUnchanged(t *testing.T) {
 	b := startBufferingBackend(t, echo)
-	p := startWithBackend(t, b)
+	p := startProxyWithBackend(t, b)
 	c := connect(t, p)
 	n := 0
 	for _, size := range []int{0, 1, 5, 4096, message.MaxBuffered - 1, message.MaxBuffered, message.MaxBuffered + 1, 300_000, 3_000_000} {
@@ -97,7 +97,7 @@
 		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", message.MaxBody)
 		_, _ = w.Write(body)
 	})
-	p := startWithBackend(t, b)
+	p := startProxyWithBackend(t, b)
 	c := connect(t, p)
 	body := bytes.Repeat([]byte("0123456789abcdef"), message.MaxBody/16)
 	go func() {
@@ -142,7 +142,7 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	})
-	p := startWithBackend(t, b)
+	p := startProxyWithBackend(t, b)
 	var all sync.WaitGroup
 	for i, size := range []int{100, 30_000, 150_000} {
 		c := connect(t, p)
@@ -167,7 +167,7 @@
 }
 
 func TestProxyAnswersExpectContinue(t *testing.T) {
-	p := startWithBackend(t, startBufferingBackend(t, echo))
+	p := startProxyWithBackend(t, startBufferingBackend(t, echo))
 	for name, size := range map[string]int{"buffered": 10, "streamed": 200_000} {
 		t.Run(name, func(t *testing.T) {
 			c := connect(t, p)
@@ -223,7 +223,7 @@
 
 // The time that a client takes to write a body says nothing of the backends: the timeout starts with its last byte.
 func TestStreamedRequestTimeoutStartsAfterUpload(t *testing.T) {
-	p := startWithBackend(t, startBufferingBackend(t, echo))
+	p := startProxyWithBackend(t, startBufferingBackend(t, echo))
 	c := connect(t, p)
 	deadline := make(chan balancer.Microseconds, 1)
 	c.send(t, postHead("1", "Content-Length: 100000")+distinctText(70_000))
@@ -255,7 +255,7 @@
 		_, _ = io.WriteString(w, "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 		return false
 	})
-	p := startWithBackend(t, b)
+	p := startProxyWithBackend(t, b)
 	const size = 2 << 20
 	c := connect(t, p)
 	c.send(t, postHead("1", fmt.Sprint("Content-Length: ", size))+distinctText(100_000))
@@ -284,7 +284,7 @@
 				_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\n"+head+distinctText(200_000))
 				w.(io.Closer).Close()
 			})
-			p := startWithBackend(t, b)
+			p := startProxyWithBackend(t, b)
 			c := connect(t, p)
 			c.send(t, lookRequest("1", 4000))
 			resp, err := http.ReadResponse(c.r, nil)
--- a/internal/proxy/connections_test.go
+++ b/internal/proxy/connections_test.go
@@ -141,7 +141,7 @@
 // on the connection, and nothing has arrived since it fell idle.
 func TestCloseIdleKeepsConnectionWithOneByteOfRequest(t *testing.T) {
 	release := make(chan struct{})
-	p, b := startServing(t, respondAfter(release))
+	p, b := startProxyAndBackend(t, respondAfter(release))
 	c := connect(t, p)
 	c.send(t, lookRequest("h", 8000))
 	backendtest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
@@ -165,7 +165,7 @@
 func TestRequestCrossingIdleCloseIsNotForwarded(t *testing.T) {
 	b := startOKBackend(t)
 	read, proceed := make(chan struct{}), make(chan struct{})
-	p := startAdjusted(t, func(p *Proxy) {
+	p := startAdjustedProxy(t, func(p *Proxy) {
 		p.clients.Listener = gatedListener{Listener: p.clients.Listener, gate: func(c net.Conn) net.Conn {
 			return gatedConn{c.(*net.TCPConn), func() { close(read); <-proceed }}
 		}}
@@ -180,5 +180,5 @@
 	if _, err := c.r.ReadByte(); err == nil {
 		t.Error("a response on a closed connection")
 	}
-	checkBegun(t, p, b, 0)
+	checkBegunRequests(t, p, b, 0)
 }
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -94,7 +94,7 @@
 	t.Helper()
 	b := startOKBackend(t)
 	gone, accepted := make(chan struct{}), make(chan struct{})
-	p := startAdjusted(t, func(p *Proxy) {
+	p := startAdjustedProxy(t, func(p *Proxy) {
 		p.clients.Listener = gatedListener{Listener: p.clients.Listener, gate: func(c net.Conn) net.Conn {
 			<-gone
 			for !socket.PeerClosed(c) {
@@ -109,14 +109,14 @@
 	d.leave(t, c)
 	close(gone)
 	backendtest.Receive(t, "accept", accepted)
-	checkBegun(t, p, b, 0)
+	checkBegunRequests(t, p, b, 0)
 }
 
 func testGoneDuringDial(t *testing.T, d disconnect) {
 	t.Helper()
 	b := startOKBackend(t)
 	dialing, proceed := make(chan struct{}), make(chan struct{})
-	p := startAdjusted(t, func(p *Proxy) {
+	p := startAdjustedProxy(t, func(p *Proxy) {
 		dial := p.loop.pool.DialContext
 		p.loop.pool.DialContext = func(_ context.Context, network, addr string) (net.Conn, error) {
 			c, err := dial(context.Background(), network, addr)
@@ -127,7 +127,7 @@
 	}, servingList(b))
 	disconnectDuringDial(t, p, d, dialing)
 	close(proceed)
-	checkBegun(t, p, b, 0)
+	checkBegunRequests(t, p, b, 0)
 }
 
 func testGoneBetweenAttempts(t *testing.T, d disconnect) {
@@ -135,7 +135,7 @@
 	b := startOKBackend(t)
 	dialing, proceed := make(chan struct{}), make(chan struct{})
 	first := true
-	p := startAdjusted(t, func(p *Proxy) {
+	p := startAdjustedProxy(t, func(p *Proxy) {
 		dial := p.loop.pool.DialContext
 		p.loop.pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			if !first {
@@ -149,14 +149,14 @@
 	}, servingList(b, b))
 	disconnectDuringDial(t, p, d, dialing)
 	close(proceed)
-	checkBegun(t, p, b, 0)
+	checkBegunRequests(t, p, b, 0)
 }
 
 func testGoneInQueue(t *testing.T, d disconnect) {
 	t.Helper()
 	release := make(chan struct{})
 	b := backendtest.Start(t, respondAfter(release))
-	p := startAdjusted(t, func(*Proxy) {}, servingList(b),
+	p := startAdjustedProxy(t, func(*Proxy) {}, servingList(b),
 		`"name":"post"`, `"by_arrival":true,"name":"post"`)
 	first := connect(t, p)
 	first.send(t, shortPost("h"))
@@ -171,13 +171,13 @@
 		t.Errorf("the first: got %s", resp.Status)
 	}
 	first.Close()
-	checkBegun(t, p, b, 1)
+	checkBegunRequests(t, p, b, 1)
 }
 
 func TestDisconnectCancelsAttempt(t *testing.T) {
 	arrived := make(chan struct{}, 1)
 	gone := make(chan struct{}, 1)
-	p, _ := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
+	p, _ := startProxyAndBackend(t, func(w io.Writer, _ *http.Request, _ int) bool {
 		arrived <- struct{}{}
 		_, _ = w.(net.Conn).Read(make([]byte, 1))
 		gone <- struct{}{}
@@ -196,7 +196,7 @@
 }
 
 func TestDisconnectDuringShortBodyForwardsNothing(t *testing.T) {
-	p, b := startServing(t, backendtest.Respond(backendtest.OK, true))
+	p, b := startProxyAndBackend(t, backendtest.Respond(backendtest.OK, true))
 	c := connect(t, p)
 	c.send(t, postHead("3", "Content-Length: 9")+"abc")
 	backendtest.WaitUntil(t, func() bool { return p.clients.Stats().Open == 1 })
@@ -220,7 +220,7 @@
 		return false
 	})
 	defer close(stop)
-	p := startWithBackend(t, b)
+	p := startProxyWithBackend(t, b)
 	for i := range 3 {
 		c := connect(t, p)
 		c.send(t, postHead(fmt.Sprint("u", i), "Content-Length: 300000")+distinctText(100_000))
--- a/internal/proxy/dispatcher.go
+++ b/internal/proxy/dispatcher.go
@@ -14,10 +14,10 @@
 // Done implements downstream.Dispatcher.
 func (l *eventLoop) Done() <-chan struct{} { return l.done }
 
-// Ready implements downstream.Dispatcher: there is an endpoint list.
+// Ready implements downstream.Dispatcher. It reports whether an endpoint list has been received.
 func (l *eventLoop) Ready() bool {
 	select {
-	case <-l.listed:
+	case <-l.endpointListReady:
 		return true
 	default:
 		return false
@@ -27,9 +27,10 @@
 // Settings implements downstream.Dispatcher.
 func (l *eventLoop) Settings() downstream.Settings { return l.settings.Load() }
 
-// adopt makes a request, which may have been parsed under earlier settings, fit those in force. It reports false where its
-// class is gone or has another idempotency; nothing of it has been sent then, and its client may retry.
-func adopt(r *downstream.Request, snapshot *config.Snapshot) bool {
+// revalidate updates the class and tenant indices of a request, which may have been parsed under earlier settings, to the
+// settings in force. It returns false if the request's class no longer exists or its idempotency has changed. No part of
+// the request has been sent by then, so the client may safely retry it.
+func revalidate(r *downstream.Request, snapshot *config.Snapshot) bool {
 	class, index, ok := snapshot.Class(r.ClassName)
 	if !ok || class.Idempotency != r.Idempotency {
 		return false
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -12,66 +12,67 @@
 	"baylock/internal/upstream"
 )
 
-// Errors of call for an event that the loop has not handled.
+// Errors that postAndWait returns for an event that the loop has not handled.
 var (
-	errLoopEnded  = errors.New("the proxy has ended")
-	errLoopBusy   = errors.New("the proxy is too busy to say")
-	errNotDoneYet = errors.New("not done yet")
+	errLoopEnded        = errors.New("the proxy has shut down")
+	errLoopBusy         = errors.New("the proxy is too busy to handle the operation")
+	errNotHandledInTime = errors.New("the operation has not completed in time and may still take effect")
 )
 
-// event is something that happens to the event loop, besides updates of the endpoint list and timers. Its handle method
-// runs on the loop's goroutine.
+// event is an input of the event loop other than an endpoint list update or a timer. Its handle method runs on the loop's
+// goroutine.
 type event interface{ handle(*eventLoop) }
 
-// requestSubmitted: a client's request has arrived.
+// requestSubmitted is posted when a client's request has arrived.
 type requestSubmitted struct{ request *downstream.Request }
 
-// requestCanceled: nobody waits for a request's response any more.
+// requestCanceled is posted when the client no longer waits for the response to its request.
 type requestCanceled struct{ request *downstream.Request }
 
-// uploadFinished: the last byte of a streamed request has been written to its endpoint.
+// uploadFinished is posted when the last byte of a streamed request has been written to the endpoint.
 type uploadFinished struct {
 	attempt *attempt
 	at      time.Time
 }
 
-// responseStarted: an endpoint has begun a response that is forwarded as it arrives.
+// responseStarted is posted when an endpoint has started a response that is forwarded as it arrives.
 type responseStarted struct {
 	attempt  *attempt
 	response *message.ResponseStream
 }
 
-// attemptFinished: nothing is left of an attempt.
+// attemptFinished is posted when an attempt has ended and released everything it used.
 type attemptFinished struct {
 	attempt *attempt
 	result  upstream.Result
 }
 
-// settingsChanged: a reload puts a snapshot in force. err is why it can't; then nothing has changed.
+// settingsChanged is posted by a reload to put a snapshot in force. Its handler sets err if the snapshot could not be
+// applied; nothing has changed then.
 type settingsChanged struct {
 	snapshot *config.Snapshot
 	err      error
 }
 
-// detachedChanged: operators have detached or attached backends.
-type detachedChanged struct{ backendIDs []string } // all that are detached now
+// detachedChanged is posted to apply the set of backends that operators have detached.
+type detachedChanged struct{ backendIDs []string } // all backends that are detached now
 
-// backendQueried asks whether the endpoint list has a backend.
+// backendQueried is posted to find out whether a backend is on the endpoint list. Its handler sets listed.
 type backendQueried struct {
 	backendID string
 	listed    bool
 }
 
-// learnedStateQueried asks for what the balancer has learned.
+// learnedStateQueried is posted to export the balancer's learned state. Its handler sets learned.
 type learnedStateQueried struct{ learned balancer.LearnedState }
 
-// shutdownBegun: the process shuts down.
+// shutdownBegun is posted when the process starts to shut down.
 type shutdownBegun struct {
-	cutoff          balancer.Microseconds // all requests end by then
-	streamingCutoff balancer.Microseconds // requests completed later get no streamed response; 0 for no such limit
+	cutoff          balancer.Microseconds // all requests end by this time
+	streamingCutoff balancer.Microseconds // requests fully received later get no streamed response; 0 for no limit
 }
 
-func (e requestSubmitted) handle(l *eventLoop) { l.takeRequest(e.request) }
+func (e requestSubmitted) handle(l *eventLoop) { l.acceptRequest(e.request) }
 
 func (e requestCanceled) handle(l *eventLoop) {
 	if r := l.requests[e.request.ID]; r != nil && r.Request == e.request {
@@ -92,7 +93,7 @@
 }
 func (e shutdownBegun) handle(l *eventLoop) { l.beginShutdown(e.cutoff, e.streamingCutoff) }
 
-// awaitedEvent closes done when an event has been handled.
+// awaitedEvent wraps an event and closes done when the event has been handled.
 type awaitedEvent struct {
 	event
 	done chan struct{}
@@ -103,7 +104,7 @@
 	close(e.done)
 }
 
-// post hands an event to the loop. It is dropped when the loop has ended.
+// post sends an event to the loop. The event is dropped if the loop has ended.
 func (l *eventLoop) post(e event) {
 	select {
 	case l.events <- e:
@@ -111,9 +112,9 @@
 	}
 }
 
-// call hands an event to the loop and waits until it has been handled. After an error the loop may still handle it, so
-// that the caller must not read its results.
-func (l *eventLoop) call(ctx context.Context, e event) error {
+// postAndWait sends an event to the loop and waits until it has been handled. After an error the loop may still handle the
+// event, so the caller must not read its results.
+func (l *eventLoop) postAndWait(ctx context.Context, e event) error {
 	awaited := awaitedEvent{e, make(chan struct{})}
 	select {
 	case l.events <- awaited:
@@ -128,6 +129,6 @@
 	case <-l.done:
 		return errLoopEnded
 	case <-ctx.Done():
-		return errNotDoneYet
+		return errNotHandledInTime
 	}
 }
--- a/internal/proxy/fakediscovery_test.go
+++ b/internal/proxy/fakediscovery_test.go
@@ -15,15 +15,15 @@
 	"baylock/internal/socket"
 )
 
-// discoveryConnKey is the context key of the connection that a call to fakeDiscovery arrived on.
+// discoveryConnKey is the context key of the connection on which a call to fakeDiscovery arrived.
 type discoveryConnKey struct{}
 
-// fakeDiscovery answers calls in the order of its answers, and then holds every watch.
+// fakeDiscovery answers each call with the next of its answers. It holds calls open while it has no answer.
 type fakeDiscovery struct {
 	addr    string
-	answers chan string   // the next answers; "" breaks the connection
-	calls   chan string   // the queries that came
-	ended   chan struct{} // ends the held calls
+	answers chan string   // the next answers; "" closes the connection without an answer
+	calls   chan string   // the queries of the calls that have arrived
+	ended   chan struct{} // closed to end the calls that are held open
 }
 
 func startDiscovery(t *testing.T) *fakeDiscovery {
@@ -34,7 +34,7 @@
 		d.calls <- r.URL.RawQuery
 		select {
 		case text := <-d.answers:
-			if r.Context().Err() != nil || socket.PeerClosed(conn) { // its client has abandoned this call
+			if r.Context().Err() != nil || socket.PeerClosed(conn) { // the client has abandoned this call
 				d.answers <- text
 				return
 			}
@@ -55,6 +55,7 @@
 	return d
 }
 
+// listJSON returns an endpoint list. full is false if entries are only its changes.
 func listJSON(index int, full bool, entries ...string) string {
 	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`, index, full, strings.Join(entries, ","))
 }
@@ -64,7 +65,7 @@
 		name, addr, status)
 }
 
-// servingList is the complete list of serving backends, named a, b and so on.
+// servingList returns a complete endpoint list of serving backends, which are named a, b and so on.
 func servingList(backends ...*backendtest.Backend) string {
 	var entries []string
 	for i, b := range backends {
--- a/internal/proxy/fakelistener_test.go
+++ b/internal/proxy/fakelistener_test.go
@@ -9,7 +9,7 @@
 	"baylock/internal/clientconn"
 )
 
-// gatedConn blocks what it has read until the gate returns.
+// gatedConn calls gate after each read, and returns the data only when gate has returned.
 type gatedConn struct {
 	*net.TCPConn
 	gate func()
@@ -23,12 +23,12 @@
 	return n, err
 }
 
-// gatedListener wraps a listener. Each function may be nil.
+// gatedListener wraps a listener and calls functions when it is used. Each function may be nil.
 type gatedListener struct {
 	net.Listener
 	gate      func(net.Conn) net.Conn // wraps an accepted connection
-	onInspect func()                  // called when the socket is inspected
-	onClose   func()                  // called after the close
+	onInspect func()                  // called before SyscallConn returns the socket
+	onClose   func()                  // called after the listener has been closed
 }
 
 func (l gatedListener) Accept() (net.Conn, error) {
@@ -54,7 +54,7 @@
 	return l.Listener.(syscall.Conn).SyscallConn()
 }
 
-// failingListener fails for good once fail is closed.
+// failingListener returns an error from every Accept once fail is closed.
 type failingListener struct {
 	net.Listener
 	fail <-chan struct{}
@@ -75,12 +75,12 @@
 	}
 }
 
-// onlyConnection returns the only connection of a client.
+// onlyConnection returns the only client connection of the proxy.
 func (p *runningProxy) onlyConnection(t *testing.T) *clientconn.Conn {
 	t.Helper()
 	connections := p.clients.Connections()
 	if len(connections) != 1 {
-		t.Fatalf("%d connections of clients", len(connections))
+		t.Fatalf("%d client connections", len(connections))
 	}
 	return connections[0]
 }
--- a/internal/proxy/forwarding_test.go
+++ b/internal/proxy/forwarding_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestProxyForwardsRequestsOfAllClasses(t *testing.T) {
-	p, b := startServing(t, backendtest.Respond(backendtest.OK, true))
+	p, b := startProxyAndBackend(t, backendtest.Respond(backendtest.OK, true))
 	c := connect(t, p)
 	for _, request := range []struct{ class, text string }{
 		{"look", lookRequest("1", 4000)},
@@ -26,7 +26,7 @@
 			if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
 				t.Errorf("got %s %q", resp.Status, body)
 			}
-			time.Sleep(upstream.ReuseDelay) // idle connections may be used again
+			time.Sleep(upstream.ReuseDelay) // after this delay an idle connection may be reused
 		})
 	}
 	if b.Requests.Load() != 3 || b.Connections.Load() != 1 {
@@ -34,9 +34,9 @@
 	}
 }
 
-// A 4xx response is no evidence against a backend, and no other backend gets the request.
+// A 4xx response is forwarded. It is no evidence against the backend, and the request is not retried on another backend.
 func TestProxyForwardsClientErrorsOfBackends(t *testing.T) {
-	p, b := startServing(t, func(w io.Writer, r *http.Request, _ int) bool {
+	p, b := startProxyAndBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
 		if r.URL.RawQuery != "" {
 			_, _ = io.WriteString(w, "HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n")
 		} else {
@@ -57,12 +57,12 @@
 	c := connect(t, p)
 	c.send(t, lookRequest("good", 4000))
 	if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
-		t.Errorf("then got %s", resp.Status)
+		t.Errorf("after the client errors got %s", resp.Status)
 	}
 }
 
 func TestRejectedRequestGetsRetryAfter(t *testing.T) {
-	p, b := startServing(t, backendtest.Respond("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", true))
+	p, b := startProxyAndBackend(t, backendtest.Respond("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", true))
 	c := connect(t, p)
 	c.send(t, lookRequest("1", 8000))
 	resp, _ := c.readResponse(t)
@@ -75,7 +75,7 @@
 }
 
 func TestProxyFailsRequestOfHungBackend(t *testing.T) {
-	p, b := startServing(t, backendtest.Hang(t))
+	p, b := startProxyAndBackend(t, backendtest.Hang(t))
 	c := connect(t, p)
 	start := time.Now()
 	c.send(t, "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nRequest-Timeout-Ms: 1000\r\nContent-Length: 0\r\n\r\n")
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -26,26 +26,27 @@
 	`{"give_up_us":8000000,"name":"post","objective_us":4000000,"repeat":"at_most_once","worth":1}],` +
 	`"siblings":1,"stage":0,"tenants":[{"name":"acme","portion":1,"quota_per_s":1000}],"weights":"off"}`
 
-// runningProxy is a proxy in Run. stop is SIGTERM to it, done receives what Run returned.
+// runningProxy is a proxy whose Run has been called. stop has the effect of SIGTERM, and done receives the result of Run.
 type runningProxy struct {
 	*Proxy
 	stop context.CancelFunc
 	done chan error
 }
 
-// startProxy starts a proxy with the test settings. known is the list that it starts with, or empty.
+// startProxy starts a proxy with the test settings. known is the cached endpoint list that it starts with, or empty.
 func startProxy(t *testing.T, discoveryAddress string, sockets int, known string) *runningProxy {
 	t.Helper()
-	return startProxyWith(t, siteText, discoveryAddress, sockets, known)
+	return startProxyWithSettings(t, siteText, discoveryAddress, sockets, known)
 }
 
-// startProxyWith starts a proxy as startProxy does, with other settings.
-func startProxyWith(t *testing.T, site, discoveryAddress string, sockets int, known string) *runningProxy {
+// startProxyWithSettings is startProxy with settings of the caller's choice.
+func startProxyWithSettings(t *testing.T, site, discoveryAddress string, sockets int, known string) *runningProxy {
 	t.Helper()
 	return start(t, testConfig(t, site, discoveryAddress, sockets, known))
 }
 
-// testConfig returns the configuration of a proxy without console. known is the list that it starts with, or empty.
+// testConfig returns the configuration of a proxy without a console. known is the cached endpoint list that the proxy starts
+// with, or empty.
 func testConfig(t *testing.T, site, discoveryAddress string, sockets int, known string) config.Config {
 	t.Helper()
 	cfg := config.Config{Listen: "127.0.0.1:0", Discovery: discoveryAddress, Seed: 7, Limits: config.Limits{Sockets: sockets}}
@@ -62,6 +63,7 @@
 	return cfg
 }
 
+// start creates a proxy and calls its Run until the test ends.
 func start(t *testing.T, cfg config.Config) *runningProxy {
 	t.Helper()
 	p, err := New(cfg, slog.New(slog.DiscardHandler))
@@ -71,13 +73,14 @@
 	return run(t, p)
 }
 
+// run calls a proxy's Run until the test ends.
 func run(t *testing.T, p *Proxy) *runningProxy {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	r := &runningProxy{Proxy: p, stop: stop, done: make(chan error, 1)}
 	ended := make(chan struct{})
 	go func() { defer close(ended); r.done <- p.Run(ctx) }()
-	t.Cleanup(func() { stop(); backendtest.Receive(t, "end of the proxy", ended) })
+	t.Cleanup(func() { stop(); backendtest.Receive(t, "end of Run", ended) })
 	return r
 }
 
@@ -87,22 +90,23 @@
 	return backendtest.Start(t, backendtest.Respond(backendtest.OK, true))
 }
 
-// startServing starts a proxy that lists one backend.
-func startServing(t *testing.T, reply backendtest.Responder) (*runningProxy, *backendtest.Backend) {
+// startProxyAndBackend starts a backend, and a proxy that has it on its endpoint list.
+func startProxyAndBackend(t *testing.T, reply backendtest.Responder) (*runningProxy, *backendtest.Backend) {
 	t.Helper()
 	b := backendtest.Start(t, reply)
 	return startProxy(t, startDiscovery(t).addr, 200, servingList(b)), b
 }
 
-// startWithBackend starts a proxy that lists a backend, with more connections than startServing.
-func startWithBackend(t *testing.T, b *backendtest.Backend) *runningProxy {
+// startProxyWithBackend starts a proxy that has a backend on its endpoint list, with more file descriptors than
+// startProxyAndBackend.
+func startProxyWithBackend(t *testing.T, b *backendtest.Backend) *runningProxy {
 	t.Helper()
 	return startProxy(t, startDiscovery(t).addr, 400, servingList(b))
 }
 
-// startAdjusted starts a proxy with the test settings, of which pairs of texts are replaced. adjust may change it before
-// Run.
-func startAdjusted(t *testing.T, adjust func(*Proxy), backends string, replace ...string) *runningProxy {
+// startAdjustedProxy starts a proxy with the test settings, in which the first text of each pair in replace is replaced by
+// the second. backends is the cached endpoint list. adjust may change the proxy before Run.
+func startAdjustedProxy(t *testing.T, adjust func(*Proxy), backends string, replace ...string) *runningProxy {
 	t.Helper()
 	site := strings.NewReplacer(replace...).Replace(siteText)
 	p, err := New(testConfig(t, site, startDiscovery(t).addr, 200, backends), slog.New(slog.DiscardHandler))
@@ -113,7 +117,7 @@
 	return run(t, p)
 }
 
-// testClient is a connection of a client.
+// testClient is a client's connection to the proxy.
 type testClient struct {
 	net.Conn
 	r *bufio.Reader
@@ -152,15 +156,15 @@
 	return resp, string(body)
 }
 
-// inspection is an event that has the loop call a function.
+// inspection is an event whose handler calls a function.
 type inspection func()
 
 func (f inspection) handle(*eventLoop) { f() }
 
-// onLoop has the proxy's loop call a function.
+// onLoop calls a function on the goroutine of the proxy's loop.
 func (p *runningProxy) onLoop(f func()) { p.loop.post(inspection(f)) }
 
-// waitUntilIdle waits until nothing is left of any request.
+// waitUntilIdle waits until no request, timer, connection in use or message buffer is left.
 func waitUntilIdle(t *testing.T, p *runningProxy) {
 	t.Helper()
 	backendtest.WaitUntil(t, func() bool {
@@ -172,22 +176,23 @@
 	})
 }
 
-// hasRequest reports whether a request is in the table of the loop.
+// hasRequest reports whether a request is in the loop's table.
 func (p *runningProxy) hasRequest(id string) bool {
 	got := make(chan bool, 1)
 	p.onLoop(func() { got <- p.loop.requests[id] != nil })
 	return <-got
 }
 
-// checkBegun waits until nothing is left of any request, and checks how many have begun to arrive at the backend.
-func checkBegun(t *testing.T, p *runningProxy, b *backendtest.Backend, n int32) {
+// checkBegunRequests waits until the clients have disconnected and the proxy is idle. It checks how many requests have
+// started to arrive at the backend.
+func checkBegunRequests(t *testing.T, p *runningProxy, b *backendtest.Backend, n int32) {
 	t.Helper()
 	backendtest.WaitUntil(t, func() bool { return p.clients.Stats().Open == 0 })
 	waitUntilIdle(t, p)
-	p.loop.pool.ApplyEndpoints(true, nil) // closes what is idle, so that the backend has read all that was sent
+	p.loop.pool.ApplyEndpoints(true, nil) // closes idle connections; a backend that sees the close has read all that was sent
 	backendtest.WaitUntil(t, func() bool { return len(b.Closed) == int(b.Connections.Load()) })
 	if got := b.Begun.Load(); got != n {
-		t.Errorf("%d requests were begun", got)
+		t.Errorf("%d requests started to arrive", got)
 	}
 }
 
@@ -206,7 +211,7 @@
 
 func longPost(id string) string { return postHead(id, "Content-Length: 300000") + distinctText(70_000) }
 
-// distinctText returns a body of n bytes, no two parts of which are the same.
+// distinctText returns a body of n bytes whose 8-byte blocks all differ.
 func distinctText(n int) string {
 	var b strings.Builder
 	for i := 0; b.Len() < n; i++ {
@@ -215,7 +220,7 @@
 	return b.String()[:n]
 }
 
-// respondAfter responds to requests; to those whose ID begins with h only after the release.
+// respondAfter returns a Responder that delays its response to requests whose ID starts with h until release is closed.
 func respondAfter(release <-chan struct{}) backendtest.Responder {
 	return func(w io.Writer, r *http.Request, _ int) bool {
 		if r.Header.Get("Request-Id")[0] == 'h' {
--- a/internal/proxy/host.go
+++ b/internal/proxy/host.go
@@ -14,22 +14,22 @@
 func (l *eventLoop) Send(id, endpoint string, timeout, dedupDeadline balancer.Microseconds) {
 	r := l.requests[id]
 	if r == nil {
-		l.log.Error("send for an unknown request", "id", id)
+		l.log.Error("balancer sent an unknown request", "id", id)
 		return
 	}
 	a := l.newAttempt(r, timeout, dedupDeadline)
-	r.sends++
+	r.attemptsSent++
 	var ready bool
 	a.Target, ready = l.pool.Find(endpoint)
-	if !ready || r.responded || r.current != nil { // a request has at most one attempt in flight
+	if !ready || r.responded || r.inFlight != nil { // a request has at most one attempt in flight
 		l.unsent = append(l.unsent, a)
 		return
 	}
-	r.current = a
+	r.inFlight = a
 	l.start(a)
 }
 
-// newAttempt returns an attempt without a target. timeout and dedupDeadline are as in balancer.Host.
+// newAttempt returns an attempt without a target. timeout and dedupDeadline have the meaning given at balancer.Host.Send.
 func (l *eventLoop) newAttempt(r *request, timeout, dedupDeadline balancer.Microseconds) *attempt {
 	now := l.clock.Now()
 	deadline := r.Deadline
@@ -39,7 +39,7 @@
 	a := &attempt{
 		loop:            l,
 		request:         r,
-		number:          r.sends,
+		number:          r.attemptsSent,
 		sentAt:          now,
 		responseTimeout: (deadline - now).Duration(),
 	}
@@ -50,7 +50,7 @@
 	return a
 }
 
-// start runs an attempt on a goroutine of its own, for which run waits.
+// start runs an attempt on its own goroutine. run waits for all such goroutines before it returns.
 func (l *eventLoop) start(a *attempt) {
 	ctx, cancel := context.WithCancel(l.attemptsContext)
 	a.cancel = cancel
@@ -80,7 +80,8 @@
 	l.timers.Add(timing.NewTimer(l.clock.Now()+delay, timerTarget{token: token}))
 }
 
-// Subscribe implements balancer.Host. Where the list is pushed the watch is open anyway.
+// Subscribe implements balancer.Host. It requests a poll of the endpoint list. If discovery pushes the list, the watch is
+// open anyway and the request has no effect.
 func (l *eventLoop) Subscribe() {
 	select {
 	case l.pollRequests <- struct{}{}:
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -15,11 +15,13 @@
 const (
 	bytesPerMiB = 1 << 20
 
-	// memoryLimitFraction is the part of the memory from which on the runtime collects garbage harder.
+	// memoryLimitFraction is the fraction of the memory limit that becomes the Go runtime's soft limit, from which on the
+	// runtime collects garbage more often.
 	memoryLimitFraction = 0.6
 )
 
-// resourceLimits applies the limits in force to all that uses descriptors, memory and cores. It is safe for concurrent use.
+// resourceLimits applies the limits in force to everything that uses file descriptors, memory or cores. It is safe for
+// concurrent use.
 type resourceLimits struct {
 	clients *clientconn.Listener
 	pool    *upstream.Pool
@@ -27,8 +29,8 @@
 
 	mu            sync.Mutex // held while limits are applied; guards the fields below
 	limits        config.Limits
-	alone         bool // no other process of this proxy lives
-	memoryLimited bool // the runtime has a memory limit
+	alone         bool // no other process of this proxy is running
+	memoryLimited bool // the Go runtime has a memory limit
 }
 
 // set replaces the limits in force.
@@ -39,7 +41,8 @@
 	r.applyLocked()
 }
 
-// setAlone sets whether no other process of this proxy lives. While one does, both share descriptors and memory.
+// setAlone sets whether this is the only running process of this proxy. While another one runs, each process gets half of
+// the file descriptors and memory.
 func (r *resourceLimits) setAlone(alone bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,7 +65,8 @@
 	}
 }
 
-// limitRuntimeMemoryLocked sets the runtime's memory limit, in MiB; 0 reverts to none.
+// limitRuntimeMemoryLocked sets the Go runtime's soft memory limit to a fraction of memoryMB, which is in MiB. 0 removes
+// the limit.
 func (r *resourceLimits) limitRuntimeMemoryLocked(memoryMB float64) {
 	if memoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryMB * memoryLimitFraction * bytesPerMiB))
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -16,88 +16,90 @@
 
 const (
 	eventBuffer   = 256
-	sweepInterval = time.Second // between two looks at the idle connections to endpoints
+	sweepInterval = time.Second // between two checks of the idle connections to endpoints
 )
 
-// eventLoop owns the balancer and the table of requests. All that happens comes to it through channels and is passed to the
-// balancer in that order; as the balancer.Host it carries out the decisions. Fields without a comment on their use
-// elsewhere are used by its goroutine alone, once run has begun.
+// eventLoop owns the balancer and the table of open requests. It receives every event through a channel and passes it to
+// the balancer in the order of arrival. It implements balancer.Host, so it also carries out the balancer's decisions. Once
+// run has started, only its goroutine uses the fields, except for the channels, the logger and the fields whose comments
+// allow other uses.
 type eventLoop struct {
 	balancer *balancer.Balancer
-	clock    timing.Clock   // immutable
-	pool     *upstream.Pool // safe for concurrent use
-	zones    discovery.Zones
+	clock    timing.Clock    // immutable
+	pool     *upstream.Pool  // safe for concurrent use
+	zones    discovery.Zones // immutable
 	limits   *resourceLimits // safe for concurrent use
 	log      *slog.Logger
 
 	events       chan event
-	updates      chan discovery.Update // of the endpoint list
-	pollRequests chan struct{}         // has discovery ask for the list; holds one
+	updates      chan discovery.Update // updates of the endpoint list
+	pollRequests chan struct{}         // requests a poll of the endpoint list; buffers one request
 	done         chan struct{}         // closed when the loop has ended
 
-	listed   chan struct{} // closed when there is an endpoint list
-	answered chan struct{} // closed when discovery has given a list
+	endpointListReady chan struct{} // closed when an endpoint list is known, possibly a cached one
+	discoveryAnswered chan struct{} // closed when discovery has sent an update of the endpoint list
 
-	settings atomic.Pointer[config.Snapshot] // in force; only the loop replaces it
+	settings atomic.Pointer[config.Snapshot] // in force; any goroutine may load it, only the loop replaces it
 
 	detached map[string]bool     // IDs of the backends that operators have detached
-	requests map[string]*request // by ID, until responded with no attempt in flight
+	requests map[string]*request // by ID; removed once they have their response and no attempt in flight
 	timers   timing.Queue[timerTarget]
-	unsent   []*attempt // sends that cannot be carried out; their outcomes follow the present event
+	unsent   []*attempt // attempts that could not be sent; reported to the balancer after the current event
 
 	attempts        sync.WaitGroup
-	attemptsContext context.Context // of all attempts
+	attemptsContext context.Context // parent of all attempts' contexts
 
-	cutoff          balancer.Microseconds // of all requests, once a shutdown has begun; else 0
-	streamingCutoff balancer.Microseconds // requests completed later get no streamed response; 0 for no such limit
+	cutoff          balancer.Microseconds // when all requests have to end, once a shutdown has begun; else 0
+	streamingCutoff balancer.Microseconds // requests fully received later get no streamed response; 0 for no limit
 }
 
-// timerTarget is what a timer of the loop is for: a token of the balancer's, or the expiry of a request.
+// timerTarget is the purpose of one of the loop's timers: the expiry of a request, or a timer that the balancer has set.
 type timerTarget struct {
-	token   string
-	request *request // nil: the token counts
+	token   string   // of the balancer's timer
+	request *request // nil for a timer of the balancer
 }
 
 func newEventLoop(b *balancer.Balancer, zones discovery.Zones, limits *resourceLimits, snapshot *config.Snapshot,
 	log *slog.Logger) *eventLoop {
 	l := &eventLoop{
-		balancer:     b,
-		clock:        timing.NewClock(),
-		pool:         limits.pool,
-		zones:        zones,
-		limits:       limits,
-		log:          log,
-		events:       make(chan event, eventBuffer),
-		updates:      make(chan discovery.Update),
-		pollRequests: make(chan struct{}, 1),
-		done:         make(chan struct{}),
-		listed:       make(chan struct{}),
-		answered:     make(chan struct{}),
-		requests:     map[string]*request{},
+		balancer:          b,
+		clock:             timing.NewClock(),
+		pool:              limits.pool,
+		zones:             zones,
+		limits:            limits,
+		log:               log,
+		events:            make(chan event, eventBuffer),
+		updates:           make(chan discovery.Update),
+		pollRequests:      make(chan struct{}, 1),
+		done:              make(chan struct{}),
+		endpointListReady: make(chan struct{}),
+		discoveryAnswered: make(chan struct{}),
+		requests:          map[string]*request{},
 	}
 	l.settings.Store(snapshot)
 	return l
 }
 
-// run handles events until the context ends, and then waits until all attempts have ended.
+// run handles events until the context is canceled, and then waits until all attempts have ended.
 func (l *eventLoop) run(ctx context.Context) {
 	defer l.pool.Close()
 	defer l.attempts.Wait()
 	attempts, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer close(l.done) // before the wait for attempts: their events are dropped from here on
+	defer close(l.done) // before the wait for attempts, so that post drops their events from here on
 	l.attemptsContext = attempts
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
-	for l.handleNext(ctx, alarm, sweep) {
+	for l.handleNext(ctx, timer, sweep) {
 	}
 }
 
-// handleNext waits for something to happen and handles it. It reports false when the context has ended.
-func (l *eventLoop) handleNext(ctx context.Context, alarm *time.Timer, sweep *time.Ticker) bool {
-	// Updates of the list have priority: nothing may be sent to an endpoint that is known to drain.
+// handleNext waits for the next event, update or timer and handles it. It returns false when the context is canceled.
+func (l *eventLoop) handleNext(ctx context.Context, timer *time.Timer, sweep *time.Ticker) bool {
+	// Updates of the endpoint list have priority over events: no attempt may be sent to an endpoint that is already
+	// reported as draining.
 	select {
 	case update := <-l.updates:
 		l.applyUpdate(update)
@@ -109,7 +111,7 @@
 		l.applyUpdate(update)
 	case e := <-l.events:
 		e.handle(l)
-	case <-alarm.C:
+	case <-timer.C:
 	case now := <-sweep.C:
 		l.pool.Sweep(now)
 	case <-ctx.Done():
@@ -118,13 +120,13 @@
 	l.reportUnsent()
 	l.fireTimers()
 	if next, ok := l.timers.Next(); ok {
-		alarm.Reset(time.Until(l.clock.Time(next)))
+		timer.Reset(time.Until(l.clock.Time(next)))
 	}
 	return true
 }
 
-// reportUnsent reports the sends that could not be carried out. The balancer may send again, so this goes on until none is
-// left.
+// reportUnsent tells the balancer about the attempts that could not be sent. The balancer may react with another attempt
+// that cannot be sent either, so reportUnsent repeats until none is left.
 func (l *eventLoop) reportUnsent() {
 	for len(l.unsent) > 0 {
 		a := l.unsent[0]
@@ -146,7 +148,7 @@
 	}
 }
 
-// applyUpdate applies an update of the endpoint list, or a failed call for one.
+// applyUpdate applies an update of the endpoint list, or tells the balancer that a call to discovery has failed.
 func (l *eventLoop) applyUpdate(update discovery.Update) {
 	if update.List == nil {
 		l.balancer.UpdateEndpoints(l.clock.Now(), l, balancer.FailedUpdate, nil)
@@ -158,19 +160,20 @@
 	}
 	l.applyList(kind, update.List)
 	l.reportUnsent()
-	closeOnce(l.answered)
+	closeOnce(l.discoveryAnswered)
 }
 
-// applyList applies an endpoint list or its changes, to the connections first and then to the balancer.
+// applyList applies an endpoint list or changes to it, first to the connection pool and then to the balancer.
 func (l *eventLoop) applyList(kind balancer.UpdateKind, list *discovery.List) {
 	l.pool.ApplyEndpoints(kind != balancer.IncrementalUpdate, list.Endpoints)
 	l.balancer.UpdateEndpoints(l.clock.Now(), l, kind, l.zones.Endpoints(list.Endpoints))
 	if kind == balancer.FullUpdate || len(list.Endpoints) > 0 {
-		closeOnce(l.listed)
+		closeOnce(l.endpointListReady)
 	}
 }
 
-// closeOnce closes a channel that nothing is sent on, unless it is closed already. One goroutine calls it.
+// closeOnce closes a channel unless it is closed already. Nothing is ever sent on the channel, and only one goroutine may
+// call closeOnce for it.
 func closeOnce(c chan struct{}) {
 	select {
 	case <-c:
@@ -179,7 +182,8 @@
 	}
 }
 
-// setDetached has exactly the backends of these IDs detached, in the connections first and then in the balancer.
+// setDetached makes ids the complete set of detached backends. It attaches and detaches backends as needed, first in the
+// connection pool and then in the balancer.
 func (l *eventLoop) setDetached(ids []string) {
 	detached := make(map[string]bool, len(ids))
 	for _, id := range ids {
@@ -198,7 +202,7 @@
 	l.detached = detached
 }
 
-// applySettings puts a snapshot in force, or changes nothing.
+// applySettings puts a snapshot in force. If it returns an error, nothing has changed.
 func (l *eventLoop) applySettings(next *config.Snapshot) error {
 	if err := l.balancer.Reconfigure(next.Balancer); err != nil {
 		return err
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -12,11 +12,11 @@
 	"baylock/internal/downstream"
 )
 
-// The client of a request that was rejected for its ID may disconnect before it has read that. This must not affect the
-// open request of the same ID.
+// A client whose request was rejected for a duplicate ID may disconnect before it has read the response. The cancellation
+// must not affect the open request with the same ID.
 func TestLoopIgnoresCancellationOfRejectedDuplicate(t *testing.T) {
 	release := make(chan struct{})
-	p, b := startServing(t, respondAfter(release))
+	p, b := startProxyAndBackend(t, respondAfter(release))
 	c := connect(t, p)
 	c.send(t, lookRequest("h", 8000))
 	backendtest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
@@ -30,9 +30,9 @@
 	}
 }
 
-// Two requests of one ID could not be told apart.
+// Two open requests with the same ID could not be distinguished.
 func TestLoopRejectsDuplicateRequestID(t *testing.T) {
-	p, b := startServing(t, backendtest.Hang(t))
+	p, b := startProxyAndBackend(t, backendtest.Hang(t))
 	first, second := connect(t, p), connect(t, p)
 	first.send(t, lookRequest("1", 8000))
 	backendtest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
@@ -42,9 +42,9 @@
 	}
 }
 
-// Ever new IDs, keys, backends and zones leave nothing behind.
+// The loop must not keep state for every ID, key, backend and zone it has seen, or its memory would grow without limit.
 func TestLoopForgetsFinishedRequestsAndDeletedBackends(t *testing.T) {
-	p, _ := startServing(t, backendtest.Respond(backendtest.OK, true))
+	p, _ := startProxyAndBackend(t, backendtest.Respond(backendtest.OK, true))
 	const clients, each = 8, 250
 	var all sync.WaitGroup
 	for i := range clients {
@@ -69,13 +69,14 @@
 		got <- sizes{len(p.loop.requests), p.loop.timers.Len(), p.loop.pool.Stats().Endpoints, len(p.loop.zones)}
 	})
 	if s := backendtest.Receive(t, "answer of the loop", got); s != (sizes{backends: 1, zones: 1}) {
-		t.Errorf("left behind: %+v", s)
+		t.Errorf("remaining: %+v", s)
 	}
 }
 
-// When the loop ends nobody takes events any more; those that attempts still post must not keep it from ending.
+// After the loop has ended nothing receives events. Attempts that still post events must not block and so keep run from
+// returning.
 func TestLoopEndsWithMoreAttemptsInFlightThanBufferedEvents(t *testing.T) {
-	p, _ := startServing(t, backendtest.Respond(backendtest.OK, true))
+	p, _ := startProxyAndBackend(t, backendtest.Respond(backendtest.OK, true))
 	started := make(chan struct{})
 	p.onLoop(func() {
 		for range 2 * eventBuffer {
--- a/internal/proxy/memory_test.go
+++ b/internal/proxy/memory_test.go
@@ -104,7 +104,7 @@
 
 // Without budget a body is streamed at once rather than buffered.
 func TestProxyStreamsBodyWhenBudgetIsExhausted(t *testing.T) {
-	p := startWithBackend(t, startBufferingBackend(t, echo))
+	p := startProxyWithBackend(t, startBufferingBackend(t, echo))
 	all := p.limits.budget.Reserve()
 	if !all.Grow(p.limits.budget.Limit()) {
 		t.Fatal("the budget is exhausted already")
--- a/internal/proxy/operations.go
+++ b/internal/proxy/operations.go
@@ -11,20 +11,22 @@
 )
 
 const (
-	// What one process is told reaches the others within this time, well within the grace of a drain.
+	// A change that operators make through one process reaches the other processes within this interval, which is well
+	// below the drain grace period.
 	stateSyncInterval = 50 * time.Millisecond
-	saveLearnedEvery  = 20 // syncs of the state between two saves of what the balancer has learned
+	saveLearnedEvery  = 20 // the balancer's learned state is saved at one in this many syncs of the operator state
 )
 
-// Errors of operations that the proxy can't carry out now.
+// Errors that Ready returns.
 var (
 	errStarting     = errors.New("starting")
 	errNoEndpoints  = errors.New("no list of backends yet")
 	errShuttingDown = errors.New("ending")
 )
 
-// Ready implements admin.Operations: this process has an endpoint list and open listeners, and doesn't shut down. Lame duck
-// doesn't matter, as no new version could take over from a process that is in it.
+// Ready implements admin.Operations. The process is ready if its listeners are open, it has an endpoint list and it isn't
+// shutting down. Lame duck doesn't make it unready, since otherwise no new version could take over from a process in lame
+// duck.
 func (p *Proxy) Ready() (settings string, err error) {
 	switch {
 	case !p.isOpen():
@@ -55,14 +57,15 @@
 		p.applyState(ctx))
 }
 
-// changeBackend edits the operators' state of one backend and applies it. The backend has to be detached or listed.
+// changeBackend edits the operator state of one backend and applies it. The backend must be detached already or be on the
+// endpoint list.
 func (p *Proxy) changeBackend(ctx context.Context, id string, edit func(*operatorstate.State)) error {
 	known := func(state operatorstate.State) error {
 		if slices.Contains(state.Detached, id) {
 			return nil
 		}
 		query := &backendQueried{backendID: id}
-		if err := p.loop.call(ctx, query); err != nil {
+		if err := p.loop.postAndWait(ctx, query); err != nil {
 			return err
 		}
 		if !query.listed {
@@ -73,31 +76,31 @@
 	return p.operatorState.Change(known, edit, p.applyState(ctx))
 }
 
-// applyState returns the function that applies the operators' state to this process.
+// applyState returns a function that applies the operator state to this process.
 func (p *Proxy) applyState(ctx context.Context) func(operatorstate.State) error {
 	return func(state operatorstate.State) error {
 		p.server.SetLameDuck(state.LameDuck)
-		return p.loop.call(ctx, detachedChanged{state.Detached})
+		return p.loop.postAndWait(ctx, detachedChanged{state.Detached})
 	}
 }
 
-// saveLearned saves what the balancer has learned, once this process accepts connections.
+// saveLearned saves the balancer's learned state. It does nothing before the listeners are open.
 func (p *Proxy) saveLearned(ctx context.Context) {
 	if !p.isOpen() {
 		return
 	}
 	query := &learnedStateQueried{}
-	err := p.loop.call(ctx, query)
+	err := p.loop.postAndWait(ctx, query)
 	if err == nil {
 		err = p.operatorState.SaveLearned(query.learned)
 	}
 	if err != nil && ctx.Err() == nil {
-		p.log.Error("learned state is not saved", "error", err)
+		p.log.Error("cannot save the learned state", "error", err)
 	}
 }
 
-// syncState follows what other processes of this proxy are told, and shares the limits with them while they live. It
-// returns when the context ends.
+// syncState applies operators' changes that were made through other processes of this proxy, and divides the limits among
+// the processes while others run. It also saves the learned state at intervals. It returns when the context is canceled.
 func (p *Proxy) syncState(ctx context.Context) {
 	ticker := time.NewTicker(stateSyncInterval)
 	defer ticker.Stop()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,6 +1,6 @@
-// Package proxy wires the parts of a proxy together. Its event loop owns the balancer: it receives the requests of clients
-// from package downstream, updates of the endpoint list from package discovery and changes of settings and operators'
-// state, and has package upstream carry out what the balancer decides.
+// Package proxy connects the components of a proxy. Its event loop owns the balancer. It receives client requests from
+// package downstream, endpoint list updates from package discovery, and changes to the settings and the operator state,
+// and carries out the balancer's decisions through package upstream.
 package proxy
 
 import (
@@ -20,7 +20,7 @@
 	"baylock/internal/upstream"
 )
 
-// Proxy is one process of a proxy.
+// Proxy is one process of a proxy. Several processes of the same proxy may run at once, for a hand-over.
 type Proxy struct {
 	log           *slog.Logger
 	config        config.Config
@@ -32,13 +32,13 @@
 	operatorState *operatorstate.Store
 
 	opened             chan struct{} // closed when all listeners are open
-	discoveryAddresses chan string   // of the configurations that reloads put in force
+	discoveryAddresses chan string   // addresses of discovery that reloads put in force
 
 	reloading sync.Mutex // held by Reload
 }
 
-// New returns a proxy that serves clients during Run. It opens the listeners, unless another process of this proxy is
-// running: then Run does, when it can serve as well as that one.
+// New returns a proxy that serves clients during Run. It opens the listeners unless another process of this proxy is
+// running. In that case Run opens them once this process can serve as well as the other one.
 func New(cfg config.Config, log *slog.Logger) (*Proxy, error) {
 	zones := discovery.NewZones(cfg.Site.Zones)
 	snapshot, err := config.NewSnapshot(cfg, zones, nil)
@@ -70,7 +70,7 @@
 	return p, nil
 }
 
-// wire makes the proxy's parts.
+// wire creates the proxy's components and connects them.
 func (p *Proxy) wire(b *balancer.Balancer, zones discovery.Zones, snapshot *config.Snapshot) {
 	clients, backends := p.config.Limits.Connections()
 	p.clients = clientconn.NewListener(nil, clientconn.Options{
@@ -96,38 +96,39 @@
 	}
 }
 
-// openOperatorState returns the store that this proxy's processes share, or one in memory where there is no folder for it,
-// no console to change it, or it can't be opened.
+// openOperatorState returns the store that the processes of this proxy share. It returns an in-memory store instead if no
+// folder is configured, if there is no console to change the state, or if the shared store can't be opened.
 func openOperatorState(cfg config.Config, log *slog.Logger) *operatorstate.Store {
 	if cfg.TempDir == "" || cfg.Console == "" {
 		return operatorstate.NewInMemory(log)
 	}
 	store, err := operatorstate.Open(cfg.TempDir, cfg.Name, log)
 	if err != nil {
-		log.Error("operator state is not stored", "error", err)
+		log.Error("cannot open the operator state, using an empty one in memory", "error", err)
 		return operatorstate.NewInMemory(log)
 	}
 	return store
 }
 
-// restoreState gives the loop the operators' state and the endpoint list as last known, before it runs.
+// restoreState applies the stored operator state and the cached endpoint list to the loop, before it runs.
 func (p *Proxy) restoreState() {
 	operators := p.operatorState.Current()
 	p.loop.setDetached(operators.Detached)
 	if p.config.Known != nil {
 		p.loop.applyList(balancer.CachedUpdate, p.config.Known)
 	}
-	for id, attachedAt := range operators.AttachedAt { // recently, so that these backends warm up
+	for id, attachedAt := range operators.AttachedAt { // recently, so the balancer has to slow-start them
 		p.loop.balancer.Detach(id)
 		p.loop.balancer.Attach(attachedAt, id)
 	}
 }
 
-// importLearned gives the balancer what that of another process has learned, before the loop runs.
+// importLearned imports the learned state that another process has saved into the balancer, before the loop runs. It
+// ignores state that is not recent.
 func (p *Proxy) importLearned() {
 	learned, recent, err := p.operatorState.LoadLearned()
 	if err != nil {
-		p.log.Error("learned state is not loaded", "error", err)
+		p.log.Error("cannot load the learned state", "error", err)
 		return
 	}
 	if recent {
@@ -135,8 +136,8 @@
 	}
 }
 
-// open opens the listeners. All processes of this proxy may listen at the clients' address; the newest gets the new
-// connections.
+// open opens the listeners. All processes of this proxy may listen at the same client address; the newest process gets the
+// new connections.
 func (p *Proxy) open() error {
 	peers := p.operatorState.AcceptingPeers()
 	listener, err := socket.ListenShared(p.config.Listen, peers, p.log)
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -6,9 +6,10 @@
 	"baylock/internal/config"
 )
 
-// Reload puts another configuration in force without a restart. It is checked as a whole, applied by the loop at one
-// instant, and in force when Reload returns; on an error nothing has changed. Its Seed and Known count only at a start.
-// Reload may be called while Run does its work, and waits for Run to begin.
+// Reload puts another configuration in force without a restart. The configuration is checked as a whole, applied by the
+// loop in one step, and in force when Reload returns. If Reload returns an error, nothing has changed. Seed and Known are
+// ignored, since they only matter when a process starts. Reload may be called concurrently with Run, and blocks until Run
+// has started.
 func (p *Proxy) Reload(next config.Config) error {
 	p.reloading.Lock()
 	defer p.reloading.Unlock()
@@ -20,7 +21,7 @@
 		return err
 	}
 	change := &settingsChanged{snapshot: snapshot}
-	if err := p.loop.call(context.Background(), change); err != nil {
+	if err := p.loop.postAndWait(context.Background(), change); err != nil {
 		return err
 	}
 	if change.err != nil {
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -61,7 +61,7 @@
 
 func TestReloadAppliesSettings(t *testing.T) {
 	left := make(chan int, 10)
-	p, _ := startServing(t, func(w io.Writer, r *http.Request, _ int) bool {
+	p, _ := startProxyAndBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
 		ms, _ := strconv.Atoi(r.Header.Get("Request-Timeout-Ms"))
 		left <- ms
 		_, _ = io.WriteString(w, backendtest.OK)
@@ -215,7 +215,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			came, release := make(chan struct{}, 1), make(chan struct{})
-			p, b := startServing(t, func(w io.Writer, _ *http.Request, n int) bool {
+			p, b := startProxyAndBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
 				if n == 1 {
 					came <- struct{}{}
 					<-release
@@ -251,7 +251,7 @@
 		"class unchanged":      {`"siblings":1`, `"siblings":2`, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, b := startServing(t, backendtest.Respond(backendtest.OK, true))
+			p, b := startProxyAndBackend(t, backendtest.Respond(backendtest.OK, true))
 			ids := make(chan balancer.Request, 1)
 			release := make(chan struct{})
 			p.onLoop(func() { <-release })
@@ -318,7 +318,7 @@
 
 // Requests that arrived under longer deadlines keep them at SIGTERM, also after two reloads.
 func TestSnapshotKeepsLongestDeadlineOfOpenRequests(t *testing.T) {
-	p, _ := startServing(t, backendtest.Respond(backendtest.OK, true))
+	p, _ := startProxyAndBackend(t, backendtest.Respond(backendtest.OK, true))
 	const before, after = 8 * time.Second, 90 * time.Millisecond
 	first := p.loop.settings.Load().TakenAt
 	short := []string{"8000000", "90000", "4000000", "80000", "1000000,", "80000,"}
@@ -342,7 +342,7 @@
 
 // Descriptors and memory are divided again at once.
 func TestReloadAppliesLimits(t *testing.T) {
-	p, _ := startServing(t, backendtest.Respond(backendtest.OK, true))
+	p, _ := startProxyAndBackend(t, backendtest.Respond(backendtest.OK, true))
 	cfg := changedConfig(t, p, "")
 	cfg.Limits.Sockets, cfg.Limits.MemoryMB = 500, 100
 	p.mustReload(t, cfg)
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -13,26 +13,27 @@
 	"baylock/internal/upstream"
 )
 
-// expiryLeeway is how long after its deadline a request is failed whatever the balancer does. The timeout of an attempt at
-// the deadline is the balancer's to respond to and to learn from.
+// expiryLeeway is how long after its deadline the loop fails a request on its own. The balancer comes first: if an attempt
+// times out at the deadline, the balancer decides on the response and updates its measurements of the endpoint.
 const expiryLeeway = 10 * time.Millisecond
 
-// request is an entry of the loop's table.
+// request is an entry in the loop's table of open requests.
 type request struct {
 	*downstream.Request
-	responded bool
-	sends     int      // attempts that the balancer has sent
-	current   *attempt // in flight, or nil
-	expiry    *timing.Timer[timerTarget]
+	responded    bool
+	attemptsSent int      // number of attempts that the balancer has sent
+	inFlight     *attempt // the attempt in flight, or nil
+	expiry       *timing.Timer[timerTarget]
 }
 
-// takeRequest gives a request to the balancer, or rejects one that can't be taken.
-func (l *eventLoop) takeRequest(submitted *downstream.Request) {
-	if l.requests[submitted.ID] != nil { // two of the same ID could not be told apart
+// acceptRequest passes a request to the balancer, or rejects it if its ID is in use or the settings in force no longer
+// allow it.
+func (l *eventLoop) acceptRequest(submitted *downstream.Request) {
+	if l.requests[submitted.ID] != nil { // two open requests with the same ID could not be distinguished
 		submitted.Respond(downstream.Response{Status: http.StatusBadRequest})
 		return
 	}
-	if !adopt(submitted, l.settings.Load()) {
+	if !revalidate(submitted, l.settings.Load()) {
 		submitted.Respond(downstream.Response{Status: http.StatusServiceUnavailable})
 		return
 	}
@@ -42,7 +43,7 @@
 	r := &request{Request: submitted}
 	l.requests[r.ID] = r
 	expiry := expiryTime(r.Deadline)
-	if r.Streaming && l.cutoff == 0 { // its timeout starts with the end of the upload
+	if r.Streaming && l.cutoff == 0 { // its timeout starts when the upload ends
 		expiry = math.MaxInt64
 	}
 	r.expiry = timing.NewTimer(expiry, timerTarget{request: r})
@@ -54,7 +55,7 @@
 	return deadline + microtime.FromDuration(expiryLeeway)
 }
 
-// respond gives a request its response, if it has none yet.
+// respond sends a request its response, unless it already has one.
 func (l *eventLoop) respond(r *request, response downstream.Response) {
 	if r.responded {
 		return
@@ -66,16 +67,16 @@
 
 // removeFinished removes a request from the table once it has its response and no attempt is in flight.
 func (l *eventLoop) removeFinished(r *request) {
-	if r.responded && r.current == nil {
+	if r.responded && r.inFlight == nil {
 		delete(l.requests, r.ID)
 		l.timers.Remove(r.expiry)
 	}
 }
 
-// startTimeout starts the timeout of a streamed request, whose upload has just ended.
+// startTimeout starts the timeout of a streamed request after its upload has ended.
 func (l *eventLoop) startTimeout(a *attempt, uploadedAt time.Time) {
 	r := a.request
-	if r.responded || r.current != a {
+	if r.responded || r.inFlight != a {
 		return
 	}
 	a.sentAt = l.clock.At(uploadedAt)
@@ -88,8 +89,8 @@
 	l.balancer.RequestUploaded(a.sentAt, r.ID, r.Deadline)
 }
 
-// respondWithStream gives a request a response that is forwarded as it arrives. Its deadline was for the first bytes, and
-// for the balancer the attempt has ended: the endpoint's work is done.
+// respondWithStream gives a request a response that is forwarded as it arrives. The request's deadline applies only to the
+// first bytes of the response. The attempt's outcome is reported to the balancer now, because the endpoint's work is done.
 func (l *eventLoop) respondWithStream(a *attempt, response *message.ResponseStream) {
 	r := a.request
 	if r.responded {
@@ -97,7 +98,7 @@
 		return
 	}
 	if l.streamingCutoff > 0 && r.CompletedAt > l.streamingCutoff {
-		// SIGKILL could cut the response off; a failed request is not lost.
+		// SIGKILL could cut the response off, and the request would be lost. A failed request does not count as lost.
 		l.cancel(r, downstream.Response{Status: http.StatusBadGateway})
 		return
 	}
@@ -113,29 +114,29 @@
 	})
 }
 
-// cancel ends a request and its attempt, or the forwarding of a response that nobody takes.
+// cancel ends a request and its attempt. If the response is being forwarded already, cancel stops the forwarding.
 func (l *eventLoop) cancel(r *request, response downstream.Response) {
 	if r.responded {
-		if r.current != nil && r.current.forwarding {
-			r.current.cancel()
+		if r.inFlight != nil && r.inFlight.forwarding {
+			r.inFlight.cancel()
 		}
 		return
 	}
 	l.respond(r, response)
 	l.balancer.CancelRequest(l.clock.Now(), l, r.ID)
-	if r.current != nil {
-		r.current.cancel()
+	if r.inFlight != nil {
+		r.inFlight.cancel()
 	}
 }
 
-// expire fails a request that the balancer has not ended in time.
+// expire fails a request for which the balancer has not provided a response in time.
 func (l *eventLoop) expire(r *request) {
 	if !r.responded {
 		l.cancel(r, downstream.Response{Status: http.StatusGatewayTimeout})
 	}
 }
 
-// beginShutdown has all requests end by cutoff, since the process may be killed soon after.
+// beginShutdown limits the lifetime of all requests to cutoff, since the process may be killed soon after.
 func (l *eventLoop) beginShutdown(cutoff, streamingCutoff balancer.Microseconds) {
 	l.cutoff, l.streamingCutoff = cutoff, streamingCutoff
 	for _, r := range l.requests {
@@ -145,13 +146,14 @@
 	}
 }
 
-// finishAttempt passes the outcome of an attempt to the balancer. A served request has its response first.
+// finishAttempt passes the outcome of an attempt to the balancer. If the attempt succeeded, the request first gets its
+// response.
 func (l *eventLoop) finishAttempt(a *attempt, result upstream.Result) {
 	r := a.request
-	if r.current == a {
-		r.current = nil
+	if r.inFlight == a {
+		r.inFlight = nil
 	}
-	if a.forwarding { // the balancer has its outcome
+	if a.forwarding { // respondWithStream has reported the outcome
 		l.removeFinished(r)
 		return
 	}
@@ -161,7 +163,7 @@
 	if result.ClientGone {
 		l.respond(r, downstream.Response{})
 	}
-	if result.ClientFault != 0 { // any endpoint would say the same, so it is no evidence against this one
+	if result.ClientFault != 0 { // any endpoint would fail in the same way, so this is no evidence against this one
 		l.respond(r, downstream.Response{Status: result.ClientFault})
 		result.Status = balancer.NotAttempted
 	}
--- a/internal/proxy/retry_test.go
+++ b/internal/proxy/retry_test.go
@@ -12,24 +12,25 @@
 	"baylock/internal/backendtest"
 )
 
-const failed = "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
+const errorResponse = "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
 
-// rateRequest returns a request of the class that is idempotent with a key.
+// rateRequest returns a request of the class rate, whose requests are deduplicated by an idempotency key.
 func rateRequest(id string) string {
 	return "POST /rate/k HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nRequest-Class: rate\r\n" +
 		"Request-Timeout-Ms: 8000\r\nIdempotency-Key: x\r\nContent-Length: 3\r\n\r\nabc"
 }
 
-// A retry that was decided on in time is not sent once its connection comes up after the deduplication window: the backend
-// may have forgotten the first attempt by then, and run the request twice. The client is answered at once.
+// A retry is not sent if its connection is established only after the deduplication window has ended, even though the
+// balancer decided on it in time. The backend may have forgotten the first attempt by then, and run the request twice. The
+// client gets its response at once.
 func TestRetryIsNotSentAfterDedupWindow(t *testing.T) {
 	const window = time.Second
-	for name, late := range map[string]bool{"dial ended by its context": false, "dial that returns late": true} {
+	for name, late := range map[string]bool{"dial canceled by its context": false, "dial returning late": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := backendtest.Start(t, backendtest.Respond(failed, false))
+			b := backendtest.Start(t, backendtest.Respond(errorResponse, false))
 			var first time.Time
-			p := startAdjusted(t, func(p *Proxy) {
+			p := startAdjustedProxy(t, func(p *Proxy) {
 				dial := p.loop.pool.DialContext
 				p.loop.pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 					if first.IsZero() {
@@ -44,7 +45,7 @@
 					return dial(context.Background(), network, addr)
 				}
 			}, servingList(b), `"dedup_window_us":9000000`, `"dedup_window_us":1000000`,
-				`"objective_us":1000000`, `"objective_us":2600000`) // so that a hanging attempt lasts longer than the window
+				`"objective_us":1000000`, `"objective_us":2600000`) // a hanging attempt times out only after the window
 			c := connect(t, p)
 			c.send(t, rateRequest("1"))
 			resp, _ := c.readResponse(t)
@@ -55,22 +56,22 @@
 				t.Errorf("answered after %v", took)
 			}
 			c.Close()
-			checkBegun(t, p, b, 1)
+			checkBegunRequests(t, p, b, 1)
 		})
 	}
 }
 
-// The retry goes to an endpoint in the deduplication scope of its class.
+// Within the window, a retry is sent to an endpoint in the deduplication scope of its class.
 func TestRetryIsSentWithinDedupWindow(t *testing.T) {
 	b := backendtest.Start(t, func(w io.Writer, _ *http.Request, n int) bool {
 		if n == 1 {
-			_, _ = io.WriteString(w, failed)
+			_, _ = io.WriteString(w, errorResponse)
 		} else {
 			_, _ = io.WriteString(w, backendtest.OK)
 		}
 		return true
 	})
-	p := startAdjusted(t, func(*Proxy) {}, servingList(b))
+	p := startAdjustedProxy(t, func(*Proxy) {}, servingList(b))
 	c := connect(t, p)
 	c.send(t, rateRequest("1"))
 	if resp, _ := c.readResponse(t); resp.StatusCode != http.StatusOK || b.Requests.Load() != 2 {
@@ -78,10 +79,11 @@
 	}
 }
 
-// The head of a long response is forwarded though its body breaks off: were the connection to end without any byte, its
-// client would take the request for unread and send it again.
-func TestBrokenLongResponseIsStarted(t *testing.T) {
-	p, b := startServing(t, backendtest.Respond("HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n", false))
+// If the backend closes the connection within the body of a long response, the client still gets the head. If its
+// connection were closed without any response byte, the client would assume that the request was never read and send it
+// again.
+func TestHeadOfTruncatedResponseIsForwarded(t *testing.T) {
+	p, b := startProxyAndBackend(t, backendtest.Respond("HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n", false))
 	c := connect(t, p)
 	c.send(t, shortPost("1"))
 	resp, err := http.ReadResponse(c.r, nil)
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -7,18 +7,19 @@
 )
 
 const (
-	// SIGKILL follows SIGTERM after the longest deadline or this, whichever is shorter, and killLeeway.
+	// SIGKILL is assumed to follow SIGTERM after killLeeway plus the longest request deadline or killDelay, whichever is
+	// shorter.
 	killDelay  = 3 * time.Second
 	killLeeway = 500 * time.Millisecond
 
-	servingFraction = 0.7 // of that time new requests are accepted for; the rest is for their responses
+	servingFraction = 0.7 // fraction of that time for which new requests are accepted; the rest is for their responses
 
-	// streamingWindow is how long after SIGTERM a request may arrive and still get a streamed response, where another process
-	// has taken over. SIGKILL may cut such a response off, and the request would count as lost.
+	// streamingWindow limits streamed responses if another process has taken over: only requests that were fully received
+	// within this time after SIGTERM get one. SIGKILL might cut off a later one, and its request would count as lost.
 	streamingWindow = 600 * time.Millisecond
 )
 
-// Run serves until the context ends, and then until all submitted requests have their responses.
+// Run serves until the context is canceled, and then until all submitted requests have their responses.
 func (p *Proxy) Run(ctx context.Context) error {
 	defer p.operatorState.Close()
 	tasksContext, stop := context.WithCancel(context.Background())
@@ -49,8 +50,8 @@
 	tasks.Go(func() { served <- p.server.Serve() })
 	var failure error
 	select {
-	case failure = <-served: // submitted requests get their responses all the same
-		p.log.Error("no more connections are accepted", "error", failure)
+	case failure = <-served: // requests submitted before still get their responses
+		p.log.Error("cannot accept more connections", "error", failure)
 	case <-ctx.Done():
 	}
 	p.shutDown(time.Now())
@@ -59,11 +60,11 @@
 
 func (p *Proxy) serveConsole() {
 	if err := p.console.Serve(); err != nil {
-		p.log.Error("the console has failed", "error", err)
+		p.log.Error("console failed", "error", err)
 	}
 }
 
-// shutDown ends the service to clients before SIGKILL. begin is when SIGTERM arrived.
+// shutDown ends the service to clients before SIGKILL arrives. begin is when SIGTERM arrived.
 func (p *Proxy) shutDown(begin time.Time) {
 	takenOver := p.operatorState.AcceptingPeers() > 0
 	p.server.SetTakenOver(takenOver)
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -20,7 +20,7 @@
 // ones; at the end each response closes its connection.
 func TestShutdownUnderLoadLosesNoRequest(t *testing.T) {
 	release := make(chan struct{})
-	p, b := startServing(t, respondAfter(release))
+	p, b := startProxyAndBackend(t, respondAfter(release))
 	idle := connect(t, p)
 	idle.send(t, lookRequest("1", 8000))
 	idle.readResponse(t)
@@ -64,7 +64,7 @@
 // further requests are rejected at once with Retry-After, and which can be used again.
 func TestShutdownKeepsConnectionsFree(t *testing.T) {
 	release := make(chan struct{})
-	p, b := startServing(t, respondAfter(release))
+	p, b := startProxyAndBackend(t, respondAfter(release))
 	var all []*testClient
 	for i := range 8 {
 		all = append(all, connect(t, p))
@@ -99,7 +99,7 @@
 
 // A request at a hung backend is failed before SIGKILL.
 func TestShutdownFailsHungRequests(t *testing.T) {
-	p, b := startServing(t, backendtest.Hang(t))
+	p, b := startProxyAndBackend(t, backendtest.Hang(t))
 	c := connect(t, p)
 	c.send(t, lookRequest("1", 8000))
 	backendtest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
@@ -118,7 +118,7 @@
 
 // A response after the latency objective is still useful: what is open at SIGTERM keeps its deadline, up to the cutoff.
 func TestShutdownKeepsDeadlinesOfOpenRequests(t *testing.T) {
-	p, b := startServing(t, backendtest.Hang(t))
+	p, b := startProxyAndBackend(t, backendtest.Hang(t))
 	for i, ms := range []int{2000, 8000} {
 		connect(t, p).send(t, strings.NewReplacer("post", "rate", "-Ms: 4000", fmt.Sprintf("-Ms: %d\r\nIdempotency-Key: x", ms)).
 			Replace(postHead(fmt.Sprint(i), "Content-Length: 0")))
@@ -149,7 +149,7 @@
 		<-release
 		_, _ = io.WriteString(w, distinctText(200_000)[100_000:])
 	})
-	p := startWithBackend(t, b)
+	p := startProxyWithBackend(t, b)
 	c := connect(t, p)
 	c.send(t, lookRequest("1", 4000))
 	resp, err := http.ReadResponse(c.r, nil)
@@ -169,7 +169,7 @@
 // At the cutoff the loop fails open requests. On a busy machine their responses may be written later than that.
 func TestShutdownAnswersOpenRequestAfterCutoff(t *testing.T) {
 	release := make(chan struct{})
-	p, b := startServing(t, respondAfter(release))
+	p, b := startProxyAndBackend(t, respondAfter(release))
 	c, half := connect(t, p), connect(t, p)
 	half.send(t, lookRequest("1", 8000)[:30])
 	c.send(t, lookRequest("h", 8000))
@@ -190,7 +190,7 @@
 	b := startOKBackend(t)
 	accepted, proceed := make(chan struct{}, 2), make(chan struct{})
 	seen := make(chan string, 1000)
-	p := startAdjusted(t, func(p *Proxy) {
+	p := startAdjustedProxy(t, func(p *Proxy) {
 		p.clients.Listener = gatedListener{Listener: p.clients.Listener,
 			gate:      func(c net.Conn) net.Conn { accepted <- struct{}{}; <-proceed; return c },
 			onInspect: func() { seen <- "look" }, onClose: func() { seen <- "close" }}
@@ -213,7 +213,7 @@
 func TestFailedListenerLosesNoResponse(t *testing.T) {
 	release, fail := make(chan struct{}), make(chan struct{})
 	b := backendtest.Start(t, respondAfter(release))
-	p := startAdjusted(t, func(p *Proxy) {
+	p := startAdjustedProxy(t, func(p *Proxy) {
 		p.clients.Listener = failingListener{p.clients.Listener, fail}
 	}, servingList(b))
 	c := connect(t, p)
--- a/internal/proxy/validation_test.go
+++ b/internal/proxy/validation_test.go
@@ -15,46 +15,46 @@
 	"baylock/internal/message"
 )
 
-// An invalid request is answered at once and its connection closed. Nothing is forwarded, neither the request nor what its
-// body hides or what follows it, also where the body never arrives.
+// An invalid request is rejected at once, even if its body never arrives, and its connection is closed. Neither the request
+// nor anything hidden in its body or sent after it is forwarded.
 func TestProxyRejectsInvalidRequests(t *testing.T) {
-	p, b := startServing(t, backendtest.Respond(backendtest.OK, true))
+	p, b := startProxyAndBackend(t, backendtest.Respond(backendtest.OK, true))
 	for name, c := range map[string]struct {
 		text string
 		want int
 	}{
-		"no class":           {"GET /look/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n\r\n", 400},
-		"unknown class":      {strings.ReplaceAll(lookRequest("1", 9), "look", "leap"), 400},
-		"class, no body":     {strings.ReplaceAll(postHead("1", "Content-Length: 9"), "post", "past"), 400},
-		"hundreds at once":   {strings.Repeat(strings.ReplaceAll(lookRequest("1", 9), "look", "leap"), 300), 400},
-		"other path":         {strings.Replace(lookRequest("1", 9), "/look", "/rate", 1), 400},
-		"full address":       {strings.Replace(lookRequest("1", 9), "/look", "http://h/look", 1), 400},
-		"no id":              {strings.Replace(lookRequest("1", 9), "Request-Id", "Other", 1), 400},
-		"long id":            {lookRequest(strings.Repeat("1", 9000), 9), 400},
-		"two ids":            {strings.Replace(lookRequest("1", 9), "Tenant: acme", "Request-Id: 2", 1), 400},
-		"wrong method":       {strings.Replace(lookRequest("1", 9), "GET", "PUT", 1), 405},
-		"needless key":       {strings.Replace(lookRequest("1", 9), "Tenant", "Idempotency-Key", 1), 400},
-		"missing key":        {strings.ReplaceAll(postHead("1", "Content-Length: 0"), "post", "rate"), 400},
-		"body on a GET":      {strings.Replace(lookRequest("1", 9), "Tenant: acme", "Content-Length: 2", 1) + "ab", 400},
-		"odd timeout":        {strings.Replace(lookRequest("1", 9), "-Ms: 9", "-Ms: soon", 1), 400},
-		"empty timeout":      {strings.Replace(lookRequest("1", 9), "-Ms: 9", "-Ms:", 1), 400},
-		"negative timeout":   {lookRequest("1", -5), 400},
-		"no timeout":         {strings.Replace(lookRequest("1", 9), "Request-Timeout-Ms", "Other", 1), 400},
-		"too large":          {postHead("3", fmt.Sprint("Content-Length: ", message.MaxBody+1)), 413},
-		"60 MB":              {postHead("3", "Content-Length: 60000000") + strings.Repeat("x", 100000), 413},
-		"negative length":    {postHead("3", "Content-Length: -4"), 400},
-		"length in words":    {postHead("3", "Content-Length: ten"), 400},
-		"two lengths":        {postHead("3", "Content-Length: 2\r\nContent-Length: 5") + "hello", 400},
-		"broken chunk":       {postHead("3", "Transfer-Encoding: chunked") + "3\r\nabcd\r\n0\r\n\r\n", 400},
-		"chunks never come":  {postHead("3", "Transfer-Encoding: chunked"), 400},
-		"chunks on a GET":    {strings.Replace(lookRequest("1", 9), "Tenant: acme", "Transfer-Encoding: chunked", 1) + "0\r\n\r\n", 400},
-		"chunked twice":      {postHead("3", "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked") + "0\r\n\r\n", 501},
-		"hidden behind":      {postHead("3", "Content-Length: 4\r\nTransfer-Encoding: chunked") + "0\r\n\r\n" + lookRequest("4", 4000), 400},
-		"hidden inside":      {postHead("3", "Transfer-Encoding: chunked\r\nContent-Length: 5") + "0\r\n\r\n" + lookRequest("4", 4000), 400},
-		"odd coding":         {postHead("3", "Content-Length: 4\r\nTransfer-Encoding: xchunked") + "abcd", 501},
-		"hidden in HTTP/1.0": {strings.Replace(postHead("3", "Content-Length: 4\r\nTransfer-Encoding: chunked"), "1.1", "1.0", 1), 505},
-		"not HTTP":           {"what is this\r\n\r\n", 400},
-		"huge head":          {"GET /look/k HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 4*clientconn.MaxHead) + "\r\n\r\n", 431},
+		"no class":            {"GET /look/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n\r\n", 400},
+		"unknown class":       {strings.ReplaceAll(lookRequest("1", 9), "look", "leap"), 400},
+		"bad class, no body":  {strings.ReplaceAll(postHead("1", "Content-Length: 9"), "post", "past"), 400},
+		"hundreds pipelined":  {strings.Repeat(strings.ReplaceAll(lookRequest("1", 9), "look", "leap"), 300), 400},
+		"wrong path":          {strings.Replace(lookRequest("1", 9), "/look", "/rate", 1), 400},
+		"absolute target":     {strings.Replace(lookRequest("1", 9), "/look", "http://h/look", 1), 400},
+		"missing id":          {strings.Replace(lookRequest("1", 9), "Request-Id", "Other", 1), 400},
+		"oversized id":        {lookRequest(strings.Repeat("1", 9000), 9), 400},
+		"two ids":             {strings.Replace(lookRequest("1", 9), "Tenant: acme", "Request-Id: 2", 1), 400},
+		"wrong method":        {strings.Replace(lookRequest("1", 9), "GET", "PUT", 1), 405},
+		"unexpected key":      {strings.Replace(lookRequest("1", 9), "Tenant", "Idempotency-Key", 1), 400},
+		"missing key":         {strings.ReplaceAll(postHead("1", "Content-Length: 0"), "post", "rate"), 400},
+		"body on a GET":       {strings.Replace(lookRequest("1", 9), "Tenant: acme", "Content-Length: 2", 1) + "ab", 400},
+		"invalid timeout":     {strings.Replace(lookRequest("1", 9), "-Ms: 9", "-Ms: soon", 1), 400},
+		"empty timeout":       {strings.Replace(lookRequest("1", 9), "-Ms: 9", "-Ms:", 1), 400},
+		"negative timeout":    {lookRequest("1", -5), 400},
+		"no timeout":          {strings.Replace(lookRequest("1", 9), "Request-Timeout-Ms", "Other", 1), 400},
+		"too large":           {postHead("3", fmt.Sprint("Content-Length: ", message.MaxBody+1)), 413},
+		"60 MB":               {postHead("3", "Content-Length: 60000000") + strings.Repeat("x", 100000), 413},
+		"negative length":     {postHead("3", "Content-Length: -4"), 400},
+		"non-numeric length":  {postHead("3", "Content-Length: ten"), 400},
+		"two lengths":         {postHead("3", "Content-Length: 2\r\nContent-Length: 5") + "hello", 400},
+		"malformed chunk":     {postHead("3", "Transfer-Encoding: chunked") + "3\r\nabcd\r\n0\r\n\r\n", 400},
+		"chunks never arrive": {postHead("3", "Transfer-Encoding: chunked"), 400},
+		"chunks on a GET":     {strings.Replace(lookRequest("1", 9), "Tenant: acme", "Transfer-Encoding: chunked", 1) + "0\r\n\r\n", 400},
+		"chunked twice":       {postHead("3", "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked") + "0\r\n\r\n", 501},
+		"length and chunked":  {postHead("3", "Content-Length: 4\r\nTransfer-Encoding: chunked") + "0\r\n\r\n" + lookRequest("4", 4000), 400},
+		"chunked and length":  {postHead("3", "Transfer-Encoding: chunked\r\nContent-Length: 5") + "0\r\n\r\n" + lookRequest("4", 4000), 400},
+		"unknown coding":      {postHead("3", "Content-Length: 4\r\nTransfer-Encoding: xchunked") + "abcd", 501},
+		"chunked, HTTP/1.0":   {strings.Replace(postHead("3", "Content-Length: 4\r\nTransfer-Encoding: chunked"), "1.1", "1.0", 1), 505},
+		"not HTTP":            {"what is this\r\n\r\n", 400},
+		"oversized head":      {"GET /look/k HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 4*clientconn.MaxHead) + "\r\n\r\n", 431},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cl := connect(t, p)
@@ -62,8 +62,8 @@
 			if resp, _ := cl.readResponse(t); resp.StatusCode != c.want || !resp.Close {
 				t.Errorf("got %s, close %v", resp.Status, resp.Close)
 			}
-			if rest, _ := io.ReadAll(cl.r); len(rest) > 0 { // a reset is an end too
-				t.Errorf("then got %q", rest)
+			if rest, _ := io.ReadAll(cl.r); len(rest) > 0 { // a reset also closes the connection
+				t.Errorf("after the response got %q", rest)
 			}
 		})
 	}
@@ -72,12 +72,12 @@
 	}
 }
 
-// A connection without a request, or with one that never ends, is closed in time.
+// A connection is closed by a timeout if no request arrives on it, or if the request is never complete.
 func TestProxyClosesUnfinishedRequests(t *testing.T) {
-	p, b := startServing(t, backendtest.Respond(backendtest.OK, true))
+	p, b := startProxyAndBackend(t, backendtest.Respond(backendtest.OK, true))
 	var all sync.WaitGroup
-	for name, text := range map[string]string{"silent": "", "half a head": "GET /look/k HTTP/1.1\r\nHos",
-		"half a body": postHead("3", "Content-Length: 9") + "abc"} {
+	for name, text := range map[string]string{"silent": "", "partial head": "GET /look/k HTTP/1.1\r\nHos",
+		"partial body": postHead("3", "Content-Length: 9") + "abc"} {
 		c := connect(t, p)
 		c.send(t, text)
 		start := time.Now()
@@ -94,9 +94,10 @@
 	}
 }
 
-// A caller with less than a millisecond left sends 0. That is valid: the request is rejected, and its connection stays open.
+// A client with less than a millisecond left sends a timeout of 0. That is a valid request: it is rejected with 503, and
+// its connection stays open.
 func TestZeroTimeoutIsRejectedWithoutClosing(t *testing.T) {
-	p, b := startServing(t, backendtest.Respond(backendtest.OK, true))
+	p, b := startProxyAndBackend(t, backendtest.Respond(backendtest.OK, true))
 	c := connect(t, p)
 	for _, id := range []string{"1", "2"} {
 		c.send(t, lookRequest(id, 0))
@@ -109,9 +110,9 @@
 	}
 }
 
-// The read deadline of a body ends with it, and does not cancel a request that is in flight.
+// The read deadline for a request body is cleared when the body has arrived, and must not cancel the request in flight.
 func TestBodyDeadlineDoesNotLimitResponse(t *testing.T) {
-	p, _ := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
+	p, _ := startProxyAndBackend(t, func(w io.Writer, _ *http.Request, _ int) bool {
 		time.Sleep(downstream.FirstRequestTimeout + 200*time.Millisecond)
 		_, _ = io.WriteString(w, backendtest.OK)
 		return true
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -7,7 +7,7 @@
 	"baylock/internal/discovery"
 )
 
-// setDiscovery gives the watch the address of discovery that a new configuration names.
+// setDiscovery passes the address of discovery from a new configuration to watchEndpoints.
 func (p *Proxy) setDiscovery(address string) {
 	select {
 	case p.discoveryAddresses <- address:
@@ -15,9 +15,10 @@
 	}
 }
 
-// watchEndpoints watches the endpoint list at the present address of discovery until the context ends. The watch of a new
-// address begins with the complete list, since the versions of two addresses do not compare, and only when the old one has
-// ended, so that no update of the old follows the new. Until the new one has answered the old list stays in use.
+// watchEndpoints watches the endpoint list at the current address of discovery until the context is canceled. When the
+// address changes, the new watch starts with the complete list, since list versions of different addresses can't be
+// compared. It starts only after the old watch has ended, so that no update from the old address can follow one from the
+// new address. The old list stays in use until the new address has answered.
 func (p *Proxy) watchEndpoints(ctx context.Context) {
 	options := discovery.Options{
 		Address:  p.config.Discovery,
@@ -29,7 +30,7 @@
 	}
 	if known := p.config.Known; known != nil {
 		options.Known = known.Index
-		options.AwaitRequest = options.Poll // with no list at all the balancer does not know when to poll
+		options.AwaitRequest = options.Poll // without any list the balancer can't decide when to poll
 	}
 	for ctx.Err() == nil {
 		next := p.watchAddress(ctx, options)
@@ -37,7 +38,8 @@
 	}
 }
 
-// watchAddress watches at one address, until another one is set or the context ends. It returns the new address.
+// watchAddress watches the endpoint list at one address until a different address is set or the context is canceled. It
+// returns the address to watch next.
 func (p *Proxy) watchAddress(ctx context.Context, options discovery.Options) (next string) {
 	watchContext, stop := context.WithCancel(ctx)
 	var watch sync.WaitGroup
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -122,7 +122,7 @@
 	t.Helper()
 	replace := strings.NewReplacer(`"automatic"`, `"subscribe"`,
 		`"cold_us"`, fmt.Sprintf(`"ask_every_us":%d,"cold_us"`, interval.Microseconds()))
-	return startProxyWith(t, replace.Replace(siteText), d.addr, 200, known)
+	return startProxyWithSettings(t, replace.Replace(siteText), d.addr, 200, known)
 }
 
 // Where the list is polled, a watch that falls silent has to be detected within 6 s. A start with a known version makes one
