--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -7,8 +7,7 @@
 )
 
 const (
-	// SIGKILL is assumed to follow SIGTERM after killLeeway plus the longest request deadline or killDelay, whichever is
-	// shorter.
+	// SIGKILL follows SIGTERM after the longest request deadline or killDelay, whichever is shorter, plus killLeeway.
 	killDelay  = 3 * time.Second
 	killLeeway = 500 * time.Millisecond
 
