--- a/internal/backendtest/backendtest.go
+++ b/internal/backendtest/backendtest.go
@@ -1,4 +1,4 @@
-// Package backendtest helps tests that need a backend on a loopback socket whose responses are written byte by byte.
+// Package backendtest provides test backends on loopback sockets, with full control over the bytes of their responses.
 package backendtest
 
 import (
@@ -11,27 +11,27 @@
 	"time"
 )
 
-// Patience is the time limit of what must happen.
-const Patience = 20 * time.Second
+// Timeout limits how long a test waits for an event that must happen.
+const Timeout = 20 * time.Second
 
 // OK is a complete response with the body "ok".
 const OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-const maxConnections = 1000 // of one backend, for the buffer of Closed
+const maxConnections = 1000 // per backend; capacity of the Closed channel
 
 // Backend is a backend on a loopback socket.
 type Backend struct {
-	Address     string
-	Requests    atomic.Int32  // received completely; not counted by StartRaw
-	Begun       atomic.Int32  // of which a byte has been received
-	Connections atomic.Int32  // accepted
-	Closed      chan struct{} // receives once for each connection that has ended
+	Address         string
+	Requests        atomic.Int32  // requests that were received completely; not counted by StartRaw
+	RequestsStarted atomic.Int32  // requests of which at least one byte was received
+	Connections     atomic.Int32  // accepted connections
+	Closed          chan struct{} // gets one value for each connection that has ended
 }
 
 // Responder writes the response to the n-th request and reports whether the connection stays open.
 type Responder func(w io.Writer, r *http.Request, n int) (keepAlive bool)
 
-// Start starts a backend that responds to complete requests. It ends with the test.
+// Start starts a backend that responds to complete requests. It stops when the test ends.
 func Start(t *testing.T, respond Responder) *Backend {
 	t.Helper()
 	var b *Backend
@@ -47,7 +47,7 @@
 	return b
 }
 
-// StartRaw starts a backend whose handler reads the bodies of requests itself. It ends with the test.
+// StartRaw starts a backend whose handler reads request bodies itself. It stops when the test ends.
 func StartRaw(t *testing.T, handle func(w io.Writer, r *http.Request) (keepAlive bool)) *Backend {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -80,7 +80,7 @@
 		if _, err := reader.Peek(1); err != nil {
 			return
 		}
-		b.Begun.Add(1)
+		b.RequestsStarted.Add(1)
 		request, err := http.ReadRequest(reader)
 		if err != nil || !handle(c, request) {
 			return
@@ -88,7 +88,7 @@
 	}
 }
 
-// Respond returns a Responder that writes a text.
+// Respond returns a Responder that writes the given text.
 func Respond(text string, keepAlive bool) Responder {
 	return func(w io.Writer, _ *http.Request, _ int) bool {
 		_, _ = io.WriteString(w, text)
@@ -96,7 +96,7 @@
 	}
 }
 
-// Hang returns a Responder that writes nothing until the test ends.
+// Hang returns a Responder that writes nothing and blocks until the test ends.
 func Hang(t *testing.T) Responder {
 	t.Helper()
 	ended := make(chan struct{})
@@ -104,24 +104,24 @@
 	return func(io.Writer, *http.Request, int) bool { <-ended; return false }
 }
 
-// Receive returns what a channel receives. It fails the test after Patience, naming what is missing.
+// Receive returns the next value of a channel. It fails the test after Timeout; what names the missing event.
 func Receive[T any](t *testing.T, what string, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(Patience):
+	case <-time.After(Timeout):
 		t.Fatalf("no %s", what)
 		panic("unreachable")
 	}
 }
 
-// WaitUntil waits until a condition holds. It fails the test after Patience.
+// WaitUntil polls a condition until it holds. It fails the test after Timeout.
 func WaitUntil(t *testing.T, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !condition(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(Timeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the condition never held")
+			t.Fatal("the condition did not become true in time")
 		}
 	}
 }
--- a/internal/clientconn/listener_test.go
+++ b/internal/clientconn/listener_test.go
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(backendtest.Patience))
+	_ = c.SetDeadline(time.Now().Add(backendtest.Timeout))
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -39,12 +39,12 @@
 	return nil
 }
 
-// bodyStart is the time from which the first bytes of a body have message.FirstBytesPatience.
+// bodyStart is the time from which the first bytes of a body have message.FirstBytesTimeout.
 func bodyStart(connection *clientconn.Conn, arrivedAt time.Time) time.Time {
 	if connection == nil || connection.ServedRequest() {
-		return arrivedAt.Add(headTimeout - message.FirstBytesPatience)
+		return arrivedAt.Add(headTimeout - message.FirstBytesTimeout)
 	}
-	start := connection.AcceptedAt().Add(FirstRequestTimeout - message.FirstBytesPatience)
+	start := connection.AcceptedAt().Add(FirstRequestTimeout - message.FirstBytesTimeout)
 	if start.Before(arrivedAt) {
 		return arrivedAt
 	}
--- a/internal/downstream/respond.go
+++ b/internal/downstream/respond.go
@@ -22,7 +22,7 @@
 		w.Header().Set("Allow", invalid.allowedMethod)
 	}
 	// net/http reads the rest of the body before it closes the connection; that may never arrive.
-	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(message.DiscardPatience))
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(message.DiscardTimeout))
 	s.writeBuffered(w, Response{Status: invalid.status, ContentType: "text/plain", Body: []byte(invalid.reason + "\n")})
 }
 
--- a/internal/message/budget.go
+++ b/internal/message/budget.go
@@ -5,26 +5,26 @@
 const (
 	bytesPerMB = 1 << 20
 
-	budgetFraction  = 8       // buffered bodies may take this part of the memory limit: one in so many bytes
-	defaultMemoryMB = 64      // where no memory limit is given
+	budgetDivisor   = 8       // buffered bodies may use the memory limit divided by this
+	defaultMemoryMB = 64      // assumed if no memory limit is set
 	minBudget       = 2 << 20 // bytes
 )
 
-// Budget bounds the memory of all buffered bodies of a process. It is safe for concurrent use.
+// Budget limits the memory used by all buffered bodies of a process. It is safe for concurrent use.
 type Budget struct {
 	mu    sync.Mutex // guards the fields below
 	limit int64      // bytes
 	used  int64      // bytes
 }
 
-// SetLimit derives the budget from the process's memory limit in MB; 0 stands for none.
+// SetLimit derives the budget from the process's memory limit in MB; 0 means that no limit is set.
 func (b *Budget) SetLimit(memoryMB float64) {
 	if memoryMB == 0 {
 		memoryMB = defaultMemoryMB
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.limit = max(minBudget, int64(memoryMB*bytesPerMB)/budgetFraction)
+	b.limit = max(minBudget, int64(memoryMB*bytesPerMB)/budgetDivisor)
 }
 
 // Limit returns how many bytes the budget allows.
@@ -44,8 +44,8 @@
 // Reserve returns an empty reservation for the bodies of one request.
 func (b *Budget) Reserve() *Reservation { return &Reservation{budget: b} }
 
-// Reservation is the part of a Budget that the bodies of one request take, until Release. A nil Reservation is
-// unlimited.
+// Reservation is the part of a Budget that the bodies of one request use, until Release is called. A nil Reservation
+// is unlimited.
 type Reservation struct {
 	budget   *Budget
 	bytes    int64 // guarded by budget.mu, as is released
@@ -68,7 +68,7 @@
 	return true
 }
 
-// Release gives everything back. Nothing can be reserved after it; further calls do nothing.
+// Release returns all reserved bytes to the budget. Later calls of Grow fail, and later calls of Release do nothing.
 func (r *Reservation) Release() {
 	r.budget.mu.Lock()
 	defer r.budget.mu.Unlock()
--- a/internal/message/buffer.go
+++ b/internal/message/buffer.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// MaxBuffered is the size in bytes up to which a body is buffered, so that it can be sent again.
+	// MaxBuffered is the maximum size in bytes of a body that is buffered, so that it can be sent again.
 	MaxBuffered = 64 << 10
 
-	// MaxBody is the size in bytes up to which a body is forwarded at all.
+	// MaxBody is the maximum size in bytes of a body that is forwarded at all.
 	MaxBody = 32 << 20
 
-	firstBuffer = 4 << 10 // bytes
+	initialBufferSize = 4 << 10 // bytes
 )
 
-// ReadBuffered reads a body while it is no longer than MaxBuffered and the reservation can grow, and until a time if
-// that is not zero. complete reports whether the body has ended; otherwise its rest is still to be read from r. length
-// is the announced length in bytes, -1 if there is none. Memory grows with what arrives: a length alone reserves none.
+// ReadBuffered reads a body into memory. It stops early if the body exceeds MaxBuffered, if the reservation cannot
+// grow, or after the time until, unless that is zero. complete reports whether the whole body was read; otherwise the
+// rest can be read from r. length is the announced length in bytes, or -1 if there is none. The buffer grows with the
+// bytes that arrive: an announced length alone does not reserve memory for the whole body.
 func ReadBuffered(r io.Reader, length int64, reservation *Reservation, until time.Time) (body []byte, complete bool, err error) {
 	if length == 0 {
 		return nil, true, nil
@@ -47,9 +48,9 @@
 	}
 }
 
-// nextSize is the size of the buffer that follows one of the given size.
+// nextSize returns the size to which a full buffer of the given size grows.
 func nextSize(size int, length int64) int {
-	next := max(firstBuffer, 2*size)
+	next := max(initialBufferSize, 2*size)
 	if length >= 0 {
 		next = min(next, int(length))
 	}
--- a/internal/message/buffer_test.go
+++ b/internal/message/buffer_test.go
@@ -13,8 +13,8 @@
 	const notAnnounced = -1
 	broken := errors.New("broken")
 	for name, c := range map[string]struct {
-		size, length int64 // of the body, and as announced
-		end          error // of the reader; nil for io.EOF
+		size, length int64 // actual and announced length of the body in bytes
+		end          error // error after the body; nil means io.EOF
 		until        time.Time
 		complete     bool
 		err          error
@@ -49,7 +49,7 @@
 				t.Errorf("%d bytes follow a complete body", len(rest))
 			}
 			if used := budget.InUse(); used < int64(len(body)) {
-				t.Errorf("%d bytes are reserved for %d", used, len(body))
+				t.Errorf("%d bytes are reserved for a body of %d", used, len(body))
 			}
 		})
 	}
@@ -60,7 +60,7 @@
 	budget.SetLimit(0)
 	all := budget.Reserve()
 	if !all.Grow(budget.Limit()) {
-		t.Fatal("the budget is exhausted already")
+		t.Fatal("cannot reserve the whole budget")
 	}
 	body, complete, err := ReadBuffered(bytes.NewReader(make([]byte, 100)), 100, budget.Reserve(), time.Time{})
 	if len(body) != 0 || complete || err != nil {
--- a/internal/message/framing.go
+++ b/internal/message/framing.go
@@ -2,8 +2,9 @@
 
 import "bytes"
 
-// HasConflictingFraming reports whether the head of a message, as it came, says in two ways where its body ends. What
-// net/http makes of such a head no longer shows that, and the body may hide another message.
+// HasConflictingFraming reports whether the raw head of a message has both a Content-Length and a Transfer-Encoding
+// field. A head parsed by net/http no longer shows the conflict, and the body may hide another message (request
+// smuggling).
 func HasConflictingFraming(head []byte) bool {
 	lower := bytes.ToLower(head)
 	return bytes.Contains(lower, []byte("\ncontent-length")) && bytes.Contains(lower, []byte("\ntransfer-encoding"))
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -1,5 +1,5 @@
-// Package message holds the parts of HTTP messages that both sides of the proxy use: the memory budget of buffered
-// bodies, bodies that are buffered and bodies that are streamed, and checks of a message's framing.
+// Package message implements the HTTP message handling that both sides of the proxy share: the memory budget for
+// buffered bodies, buffered and streamed bodies, and checks of a message's framing.
 package message
 
 import (
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// StreamStall is how long either side of a streamed body may rest. Nothing of such a body is sent again, so what still
-// arrives is not cut off early.
-const StreamStall = 5 * time.Second
+// StreamStallTimeout is how long a streamed body may make no progress on a backend connection, in either direction. It
+// is long because a streamed body that is cut off cannot be sent again.
+const StreamStallTimeout = 5 * time.Second
 
 // ErrTooLong reports a body that is longer than MaxBody.
 var ErrTooLong = errors.New("the body is too large")
 
-// ErrInterrupted reports a read of a RequestStream that Interrupt has ended.
-var ErrInterrupted = errors.New("no more of the body is wanted")
+// ErrInterrupted reports that RequestStream.Interrupt has ended a read.
+var ErrInterrupted = errors.New("reading the body was interrupted")
 
 const copyBufferSize = 16 << 10 // bytes
 
--- a/internal/message/request_stream.go
+++ b/internal/message/request_stream.go
@@ -9,53 +9,55 @@
 )
 
 const (
-	// FirstBytesPatience is how long a client may take for the first bytes of a body.
-	FirstBytesPatience = 800 * time.Millisecond
+	// FirstBytesTimeout is how long a client may take to send the first bytes of a body.
+	FirstBytesTimeout = 800 * time.Millisecond
 
-	minBodyRate = 16 << 10 // bytes a second that a client has to write thereafter, far under the slowest one's rate
+	// minBodyRate is the rate in bytes per second at which a client must send the rest of the body. It is far below the
+	// rate of the slowest client.
+	minBodyRate = 16 << 10
 
-	// DiscardPatience is how long a rejected client may go on writing, so that it can read its error.
-	DiscardPatience = 500 * time.Millisecond
+	// DiscardTimeout is how long a rejected client may keep writing, so that it can read the error response.
+	DiscardTimeout = 500 * time.Millisecond
 )
 
-// RequestStream is the part of a request's body that is not buffered: it is read once, as fast as the backend takes
-// it. Its methods are safe for concurrent use, but for SetEndHook.
+// RequestStream is the part of a request body that is not buffered. It is read only once, as fast as the backend
+// accepts it. All methods except SetEndHook are safe for concurrent use.
 type RequestStream struct {
 	body    io.Reader
-	length  int64 // of the whole body in bytes; -1 if not announced
+	length  int64 // announced length of the whole body in bytes; -1 if none
 	control *http.ResponseController
-	start   time.Time // reference for the pace that the client has to keep
-	onEnd   func()    // called at the body's end; may be nil
+	start   time.Time // reference time for the minimum rate of the client
+	onEnd   func()    // called when the whole body has been read; may be nil
 
-	consumed    atomic.Bool   // some of it can no longer be read
-	ended       atomic.Bool   // all of it has been read
-	done        chan struct{} // closed then
-	interrupted atomic.Bool   // nobody wants more of it for now
+	consumed    atomic.Bool   // part of the body can no longer be read
+	ended       atomic.Bool   // the whole body has been read
+	done        chan struct{} // closed when ended is set
+	interrupted atomic.Bool   // reads fail until Resume is called
 
 	mu       sync.Mutex // held during a read; guards the fields below
-	received int64      // bytes of the body so far
-	failure  error      // why the client's side failed
+	received int64      // bytes of the body received so far
+	failure  error      // error of reading from the client, or ErrTooLong
 }
 
-// NewRequestStream returns a stream for a body with an announced length in bytes, or -1. control sets the read deadlines
-// of the client's connection. The first bytes are due FirstBytesPatience after start.
+// NewRequestStream returns a stream for a body. length is the announced length in bytes, or -1 if there is none.
+// control sets the read deadlines of the client's connection. The first bytes are due FirstBytesTimeout after start.
 func NewRequestStream(body io.Reader, length int64, control *http.ResponseController, start time.Time) *RequestStream {
 	return &RequestStream{body: body, length: length, control: control, start: start, done: make(chan struct{})}
 }
 
-// SetEndHook sets a function that is called when all of the body has been read. It is set before the first read.
+// SetEndHook sets a function that is called when the whole body has been read. It must be called before the first read.
 func (s *RequestStream) SetEndHook(hook func()) { s.onEnd = hook }
 
-// Length returns the announced length of the whole body in bytes, -1 if there is none.
+// Length returns the announced length of the whole body in bytes, or -1 if there is none.
 func (s *RequestStream) Length() int64 { return s.length }
 
-// Consumed reports whether some of the body can no longer be read, so that the request cannot be sent again.
+// Consumed reports whether part of the body can no longer be read, so that the request cannot be sent again.
 func (s *RequestStream) Consumed() bool { return s.consumed.Load() }
 
-// Ended reports whether all of the body has been read.
+// Ended reports whether the whole body has been read.
 func (s *RequestStream) Ended() bool { return s.ended.Load() }
 
-// Done returns a channel that is closed when all of the body has been read. Without a stream it is nil.
+// Done returns a channel that is closed when the whole body has been read. For a nil stream it returns nil.
 func (s *RequestStream) Done() <-chan struct{} {
 	if s == nil {
 		return nil
@@ -63,21 +65,21 @@
 	return s.done
 }
 
-// Failure returns why the client's side failed, if it did.
+// Failure returns the error of reading from the client, or nil if there was none.
 func (s *RequestStream) Failure() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.failure
 }
 
-// ReceivedAll reports whether as many bytes have arrived as were announced.
+// ReceivedAll reports whether the announced number of bytes has been received.
 func (s *RequestStream) ReceivedAll() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.received == s.length
 }
 
-// Interrupt ends a read that waits for the client, and those after it until Resume.
+// Interrupt makes a pending read and all later ones fail with ErrInterrupted, until Resume is called.
 func (s *RequestStream) Interrupt() {
 	s.interrupted.Store(true)
 	_ = s.control.SetReadDeadline(time.Unix(1, 0))
@@ -86,7 +88,8 @@
 // Resume allows reads again after Interrupt.
 func (s *RequestStream) Resume() { s.interrupted.Store(false) }
 
-// Discard reads what a client still writes after its answer has been given: a close would reset what it has not read.
+// Discard reads and drops what a client still sends after it was given its response. If the connection were closed with
+// unread bytes, it would be reset and the client could lose the response.
 func (s *RequestStream) Discard() {
 	if s.ended.Load() || s.control.Flush() != nil {
 		return
@@ -95,14 +98,14 @@
 	buf := copyBuffers.Get().(*[copyBufferSize]byte)
 	defer copyBuffers.Put(buf)
 	for {
-		if _, err := s.Read(buf[:]); err != nil { // also io.EOF, and a client that has stopped
-			_ = s.control.SetReadDeadline(time.Now().Add(DiscardPatience))
+		if _, err := s.Read(buf[:]); err != nil { // io.EOF, or the client has stopped sending
+			_ = s.control.SetReadDeadline(time.Now().Add(DiscardTimeout))
 			return
 		}
 	}
 }
 
-// Read returns what the client writes. It fails once the client falls behind its pace or the body exceeds MaxBody.
+// Read reads from the client. It fails if the client is slower than the minimum rate or the body exceeds MaxBody.
 func (s *RequestStream) Read(b []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,12 +129,12 @@
 			s.onEnd()
 		}
 	}
-	_ = s.control.SetReadDeadline(time.Time{}) // net/http reads on, to notice a client that disconnects
+	_ = s.control.SetReadDeadline(time.Time{}) // net/http keeps reading in the background to detect a disconnect
 }
 
 func (s *RequestStream) readLocked(b []byte) (int, error) {
-	_ = s.control.SetReadDeadline(s.nextDue())
-	if s.interrupted.Load() { // while the deadline was set
+	_ = s.control.SetReadDeadline(s.nextReadDeadline())
+	if s.interrupted.Load() { // Interrupt may have been called before SetReadDeadline replaced its deadline
 		return 0, ErrInterrupted
 	}
 	n, err := s.body.Read(b) // net/http serializes this with its own accesses
@@ -141,13 +144,13 @@
 	return n, err
 }
 
-// nextDue is when the next bytes have to arrive.
-func (s *RequestStream) nextDue() time.Time {
-	return s.start.Add(FirstBytesPatience + time.Duration(s.received)*time.Second/minBodyRate)
+// nextReadDeadline returns the time by which the next bytes must arrive.
+func (s *RequestStream) nextReadDeadline() time.Time {
+	return s.start.Add(FirstBytesTimeout + time.Duration(s.received)*time.Second/minBodyRate)
 }
 
-// Buffer reads the body as ReadBuffered does, at the pace of a stream. What it reads is not consumed: the caller keeps
-// it. It is called before any Read.
+// Buffer reads the body like ReadBuffered, but with the read deadlines of the stream. What it reads does not count as
+// consumed, because the caller keeps it. Buffer must be called before the first Read.
 func (s *RequestStream) Buffer(reservation *Reservation) (body []byte, complete bool, err error) {
 	return ReadBuffered(unconsumedReader{s}, s.length, reservation, time.Time{})
 }
--- a/internal/message/response_stream.go
+++ b/internal/message/response_stream.go
@@ -8,39 +8,40 @@
 	"time"
 )
 
-// clientStall is how long a client may take no bytes: a slow reader lets its window open in large steps.
-const clientStall = 10 * time.Second
+// clientStallTimeout is how long a client may accept no bytes. It is long because the receive window of a slow reader
+// opens in large steps.
+const clientStallTimeout = 10 * time.Second
 
 // ResponseStream is a backend's response that is forwarded as it arrives. The client's side calls Deliver and then
-// sends on Done once.
+// sends one value on Done.
 type ResponseStream struct {
-	First       []byte    // what has been read of the body already
-	Body        io.Reader // the rest of it
-	Length      int64     // of the whole body in bytes; -1 if not announced
+	Prefix      []byte    // the part of the body that has already been read
+	Body        io.Reader // the rest of the body
+	Length      int64     // announced length of the whole body in bytes; -1 if none
 	ContentType string
-	Abort       func()     // ends all reads from the backend
-	Done        chan error // receives how delivery went; its buffer holds one
+	Abort       func()     // makes all reads from the backend fail
+	Done        chan error // gets the result of the delivery; has a buffer for one value
 }
 
-// Deliver writes the response to a client as it arrives: no piece waits for the next. The error tells which side
-// failed; the response is then incomplete, and the client's connection has to be closed.
+// Deliver writes the response to a client and flushes each piece as it arrives. An error says which side failed; the
+// response is then incomplete, and the client's connection must be closed.
 func (s *ResponseStream) Deliver(ctx context.Context, w http.ResponseWriter) (err error) {
-	// Nobody takes the rest of a response whose client has gone.
-	unhook := context.AfterFunc(ctx, s.Abort)
+	// Once the client has disconnected, reading the rest of the response is pointless.
+	stopAbort := context.AfterFunc(ctx, s.Abort)
 	defer func() {
-		if !unhook() && err == nil {
+		if !stopAbort() && err == nil {
 			err = ctx.Err()
 		}
 	}()
-	// The head is sent ahead of the body, also where none of that has arrived: a client whose connection ends without
-	// any byte of a response takes its request for unread and sends it again.
+	// The head is sent at once, even if no byte of the body has arrived yet: a client whose connection closes before
+	// any byte of a response assumes that its request was not read, and sends it again.
 	w.WriteHeader(http.StatusOK)
-	if err := writePiece(w, s.First); err != nil {
+	if err := writePiece(w, s.Prefix); err != nil {
 		return err
 	}
 	buf := copyBuffers.Get().(*[copyBufferSize]byte)
 	defer copyBuffers.Put(buf)
-	for delivered := int64(len(s.First)); ; {
+	for delivered := int64(len(s.Prefix)); ; {
 		n, err := s.Body.Read(buf[:])
 		if delivered += int64(n); delivered > MaxBody {
 			return ErrTooLong
@@ -62,7 +63,7 @@
 // writePiece writes and flushes one piece of a body.
 func writePiece(w http.ResponseWriter, piece []byte) error {
 	control := http.NewResponseController(w)
-	_ = control.SetWriteDeadline(time.Now().Add(clientStall))
+	_ = control.SetWriteDeadline(time.Now().Add(clientStallTimeout))
 	if _, err := w.Write(piece); err != nil {
 		return fmt.Errorf("client: %w", err)
 	}
--- a/internal/microtime/microtime_test.go
+++ b/internal/microtime/microtime_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestDurationRevertsFromDuration(t *testing.T) {
+func TestDurationInvertsFromDuration(t *testing.T) {
 	for _, want := range []time.Duration{0, time.Microsecond, -time.Hour, 26 * time.Hour} {
 		if got := FromDuration(want).Duration(); got != want {
 			t.Errorf("got %v, want %v", got, want)
--- a/internal/proxy/console_test.go
+++ b/internal/proxy/console_test.go
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(backendtest.Patience))
+	_ = c.SetDeadline(time.Now().Add(backendtest.Timeout))
 	return newClient(c)
 }
 
@@ -69,7 +69,7 @@
 func (p *runningProxy) serveLookups(t *testing.T, n int) (ok int) {
 	t.Helper()
 	c := connect(t, p)
-	for end := time.Now().Add(backendtest.Patience); n > 0; {
+	for end := time.Now().Add(backendtest.Timeout); n > 0; {
 		c.send(t, lookRequest(fmt.Sprint(time.Now().UnixNano()), 4000))
 		resp, _ := c.readResponse(t)
 		if resp.StatusCode == 200 {
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -224,7 +224,7 @@
 	for i := range 3 {
 		c := connect(t, p)
 		c.send(t, postHead(fmt.Sprint("u", i), "Content-Length: 300000")+distinctText(100_000))
-		backendtest.WaitUntil(t, func() bool { return int(b.Begun.Load()) == i+1 })
+		backendtest.WaitUntil(t, func() bool { return int(b.RequestsStarted.Load()) == i+1 })
 		c.Close()
 		backendtest.Receive(t, "end of the backend's connection", b.Closed)
 		waitUntilIdle(t, p)
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -126,7 +126,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(backendtest.Patience))
+	_ = c.SetDeadline(time.Now().Add(backendtest.Timeout))
 	return newClient(c)
 }
 
@@ -186,7 +186,7 @@
 	waitUntilIdle(t, p)
 	p.loop.pool.ApplyEndpoints(true, nil) // closes what is idle, so that the backend has read all that was sent
 	backendtest.WaitUntil(t, func() bool { return len(b.Closed) == int(b.Connections.Load()) })
-	if got := b.Begun.Load(); got != n {
+	if got := b.RequestsStarted.Load(); got != n {
 		t.Errorf("%d requests were begun", got)
 	}
 }
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -84,7 +84,7 @@
 	if l.cutoff > 0 {
 		r.Deadline = min(r.Deadline, l.cutoff)
 	}
-	l.timers.Move(r.expiry, expiryTime(r.Deadline))
+	l.timers.Reschedule(r.expiry, expiryTime(r.Deadline))
 	l.balancer.RequestUploaded(a.sentAt, r.ID, r.Deadline)
 }
 
@@ -140,7 +140,7 @@
 	l.cutoff, l.streamingCutoff = cutoff, streamingCutoff
 	for _, r := range l.requests {
 		if r.expiry.Due() > cutoff {
-			l.timers.Move(r.expiry, cutoff)
+			l.timers.Reschedule(r.expiry, cutoff)
 		}
 	}
 }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -198,7 +198,7 @@
 	first := connect(t, p)
 	backendtest.Receive(t, "accept", accepted)
 	second := connect(t, p) // in the queue
-	go p.server.Shutdown(time.Now().Add(backendtest.Patience))
+	go p.server.Shutdown(time.Now().Add(backendtest.Timeout))
 	backendtest.Receive(t, "inspection or close of the listener", seen)
 	close(proceed)
 	for i, c := range []*testClient{first, second} {
--- a/internal/proxy/takeover_test.go
+++ b/internal/proxy/takeover_test.go
@@ -102,7 +102,7 @@
 				t.Errorf("no connection: %v", err)
 				return
 			}
-			_ = connection.SetDeadline(time.Now().Add(backendtest.Patience))
+			_ = connection.SetDeadline(time.Now().Add(backendtest.Timeout))
 			c = newClient(connection)
 		}
 		c.send(t, lookRequest(fmt.Sprintf("%s-%d", client, n), 4000))
--- a/internal/socket/listen.go
+++ b/internal/socket/listen.go
@@ -9,39 +9,41 @@
 	"unsafe"
 )
 
-// Socket options of Linux that package syscall does not name.
+// Linux socket options that package syscall does not define.
 const (
 	soReusePort           = 0xf
 	soAttachReusePortCBPF = 0x33
 )
 
-// ListenShared listens at a TCP address at which other processes may listen in the same way. earlier is how many do:
-// the newest listener comes behind them in the kernel's group, and gets all new connections. Otherwise the kernel would
-// go on giving some to a listener that is about to close, and a close resets what nobody has accepted.
-func ListenShared(address string, earlier int, log *slog.Logger) (net.Listener, error) {
+// ListenShared listens on a TCP address that other processes may share by calling it too. earlierListeners is the
+// number of listeners that already use the address. The new listener follows them in the kernel's SO_REUSEPORT group
+// and gets all new connections. Otherwise the kernel would still give some connections to a listener that is about to
+// close, and closing it resets the connections that it has not accepted.
+func ListenShared(address string, earlierListeners int, log *slog.Logger) (net.Listener, error) {
 	var config net.ListenConfig
-	config.SetMultipathTCP(false) // on by default, and such listeners cannot be steered
+	config.SetMultipathTCP(false) // MPTCP is on by default, but steering does not work on MPTCP listeners
 	config.Control = func(_, _ string, c syscall.RawConn) error {
 		return control(c, func(fd uintptr) error {
 			return syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, soReusePort, 1)
 		})
 	}
 	listener, err := config.Listen(context.Background(), "tcp", address)
-	if err != nil || earlier == 0 {
+	if err != nil || earlierListeners == 0 {
 		return listener, err
 	}
-	if err := steerTo(listener, uint32(earlier)); err != nil { // the kernel then spreads them: a few may be reset
-		log.Warn("new connections are not steered here", "error", err)
+	if err := steerTo(listener, uint32(earlierListeners)); err != nil {
+		// The kernel then spreads new connections over all listeners, and a few may be reset.
+		log.Warn("cannot steer new connections to the new listener", "error", err)
 	}
 	return listener, nil
 }
 
-// steerTo has the kernel give all new connections to the listener at an index of the address's group. Once the index
-// is out of range, as it is when earlier listeners have closed, the kernel chooses by itself again.
+// steerTo makes the kernel give all new connections to the listener at the given index of the SO_REUSEPORT group. When
+// earlier listeners have closed, the index is out of range and the kernel chooses a listener by itself again.
 func steerTo(listener net.Listener, index uint32) error {
 	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
-		return fmt.Errorf("steer connections: %T is no TCP listener", listener)
+		return fmt.Errorf("steer connections: %T is not a TCP listener", listener)
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,5 +1,5 @@
-// Package socket does with TCP sockets what package net does not offer: it looks at a connection without reading from
-// it, and shares a listening address between processes.
+// Package socket provides operations on TCP sockets that package net lacks: it inspects a connection without reading
+// from it, and shares a listening address between processes.
 package socket
 
 import (
@@ -12,8 +12,8 @@
 // stateEstablished is the kernel's TCP_ESTABLISHED: neither side has closed the connection.
 const stateEstablished = 1
 
-// IsQuiet reports whether a connection is open and has nothing to read. An idle peer that has closed it, or that has
-// sent something unexpected, shows here without blocking. It may be called beside a pending Read.
+// IsQuiet reports whether a connection is open and has nothing to read. It detects, without blocking, that the peer of
+// an idle connection has closed it or sent something unexpected. It may be called while a Read is pending.
 func IsQuiet(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -33,14 +33,15 @@
 	return err == nil && quiet
 }
 
-// PeerClosed reports whether the peer has closed or reset a connection. Unlike a Read it sees that also behind bytes
-// that nobody has read yet. It may be called at any time; a connection closed by this side counts as closed.
+// PeerClosed reports whether the peer has closed or reset a connection. Unlike Read it detects this even if unread
+// bytes precede the close. It may be called at any time; a connection closed by this side counts as closed.
 func PeerClosed(c net.Conn) bool {
 	info, err := readInfo(c)
 	return info.state != stateEstablished && (err == nil || errors.Is(err, net.ErrClosed))
 }
 
-// HasPendingConnections reports whether connections wait to be accepted on a TCP listener. Closing it would reset them.
+// HasPendingConnections reports whether a TCP listener has connections in its accept queue. Closing the listener would
+// reset them.
 func HasPendingConnections(l net.Listener) bool {
 	info, err := readInfo(l)
 	return err == nil && info.unacked > 0
@@ -51,10 +52,11 @@
 	state   byte
 	_       [7]byte
 	_       [4]uint32
-	unacked uint32 // on a listening socket: connections that wait to be accepted
+	unacked uint32 // on a listening socket: length of the accept queue
 }
 
-// readInfo asks the kernel for the state of a TCP socket. It fails with errors.ErrUnsupported for anything else.
+// readInfo reads the kernel's state of a TCP socket. For anything else its error
+// matches errors.ErrUnsupported.
 func readInfo(socket any) (info tcpInfo, err error) {
 	sc, ok := socket.(syscall.Conn)
 	if !ok {
@@ -76,7 +78,7 @@
 	return info, err
 }
 
-// control calls f with a socket's descriptor and returns the error of either.
+// control calls f with a socket's file descriptor and returns the error of c.Control or of f.
 func control(c syscall.RawConn, f func(fd uintptr) error) error {
 	var inner error
 	if err := c.Control(func(fd uintptr) { inner = f(fd) }); err != nil {
--- a/internal/timing/queue.go
+++ b/internal/timing/queue.go
@@ -6,17 +6,17 @@
 	"baylock/internal/microtime"
 )
 
-// notQueued is the position of a timer that is in no queue.
+// notQueued is the position of a timer that is not in a queue.
 const notQueued = -1
 
-// Timer is an entry of a Queue: a value, and when it is due on a Clock. NewTimer makes it.
+// Timer is an entry of a Queue: a value and the time of a Clock at which it is due. Timers are created by NewTimer.
 type Timer[T any] struct {
 	Value    T
 	due      microtime.Microseconds
 	position int
 }
 
-// NewTimer returns a timer that is in no queue yet.
+// NewTimer returns a timer that is not in a queue yet.
 func NewTimer[T any](due microtime.Microseconds, value T) *Timer[T] {
 	return &Timer[T]{Value: value, due: due, position: notQueued}
 }
@@ -24,32 +24,32 @@
 // Due returns when the timer is due.
 func (t *Timer[T]) Due() microtime.Microseconds { return t.due }
 
-// Queue is a priority queue of timers, the next one first. A timer is in one queue at most. The zero Queue is empty and
-// ready for use; it is not safe for concurrent use.
+// Queue is a priority queue of timers, ordered by the time at which they are due. A timer can be in only one queue at a
+// time. The zero Queue is empty and ready to use. A Queue is not safe for concurrent use.
 type Queue[T any] struct{ timers timerHeap[T] }
 
 // Len returns the number of timers in the queue.
 func (q *Queue[T]) Len() int { return len(q.timers) }
 
-// Add adds a timer that is in no queue.
+// Add adds a timer that is not in a queue.
 func (q *Queue[T]) Add(t *Timer[T]) { heap.Push(&q.timers, t) }
 
-// Remove removes a timer, if it is in the queue.
+// Remove removes a timer if it is in the queue.
 func (q *Queue[T]) Remove(t *Timer[T]) {
 	if t.position != notQueued {
 		heap.Remove(&q.timers, t.position)
 	}
 }
 
-// Move changes when a timer is due, if it is in the queue.
-func (q *Queue[T]) Move(t *Timer[T], due microtime.Microseconds) {
+// Reschedule changes the time at which a timer is due if it is in the queue.
+func (q *Queue[T]) Reschedule(t *Timer[T], due microtime.Microseconds) {
 	if t.position != notQueued {
 		t.due = due
 		heap.Fix(&q.timers, t.position)
 	}
 }
 
-// Next returns when the next timer is due; ok is false if there is none.
+// Next returns the time at which the next timer is due; ok is false if the queue is empty.
 func (q *Queue[T]) Next() (due microtime.Microseconds, ok bool) {
 	if len(q.timers) == 0 {
 		return 0, false
@@ -57,7 +57,7 @@
 	return q.timers[0].due, true
 }
 
-// TakeDue removes and returns the next timer that is due by now, or returns nil.
+// TakeDue removes and returns the next timer if it is due by now; otherwise it returns nil.
 func (q *Queue[T]) TakeDue(now microtime.Microseconds) *Timer[T] {
 	if due, ok := q.Next(); !ok || due > now {
 		return nil
@@ -65,7 +65,7 @@
 	return heap.Pop(&q.timers).(*Timer[T])
 }
 
-// timerHeap is a heap.Interface with the next timer first.
+// timerHeap implements heap.Interface, with the timer that is due next as the root.
 type timerHeap[T any] []*Timer[T]
 
 func (h timerHeap[T]) Len() int           { return len(h) }
--- a/internal/timing/timing_test.go
+++ b/internal/timing/timing_test.go
@@ -11,7 +11,7 @@
 	"baylock/internal/microtime"
 )
 
-// A queue and a plain list agree whatever is added, moved, removed and taken.
+// Compares a queue with a plain list under random additions, reschedulings, removals and takes.
 func TestQueueTakesTimersInOrder(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 7))
 	var queue Queue[int]
@@ -25,21 +25,21 @@
 			queued = append(queued, timer)
 		case 2:
 			if len(queued) > 0 {
-				queue.Move(queued[random.IntN(len(queued))], due)
+				queue.Reschedule(queued[random.IntN(len(queued))], due)
 			}
 		case 3:
 			if len(queued) > 0 {
 				i := random.IntN(len(queued))
 				queue.Remove(queued[i])
-				queue.Remove(queued[i]) // it is removed already
-				queue.Move(queued[i], due)
+				queue.Remove(queued[i]) // has no effect on a timer that is not queued
+				queue.Reschedule(queued[i], due)
 				queued = slices.Delete(queued, i, i+1)
 			}
 		case 4:
 			taken := queue.TakeDue(due)
 			first := slices.MinFunc(append(queued, NewTimer(due+1, -1)), func(a, b *Timer[int]) int { return int(a.Due() - b.Due()) })
 			if taken == nil && first.Due() <= due || taken != nil && taken.Due() != first.Due() {
-				t.Fatalf("step %d: took %v where %v was first", step, taken, first)
+				t.Fatalf("step %d: took %v, want %v", step, taken, first)
 			}
 			queued = slices.DeleteFunc(queued, func(h *Timer[int]) bool { return h == taken })
 		}
@@ -55,28 +55,28 @@
 	before := time.Now()
 	at := clock.At(before.Add(1500 * time.Microsecond))
 	if d := at - microtime.Microseconds(before.UnixMicro()); d < 1499 || d > 1501 {
-		t.Errorf("%d us after the Unix time", d)
+		t.Errorf("At is %d us after the Unix time, want about 1500", d)
 	}
 	if back := clock.Time(at).Sub(before); back < 1499*time.Microsecond || back > 1501*time.Microsecond {
-		t.Errorf("back after %v", back)
+		t.Errorf("Time(At(t)) is %v after the reference time, want about 1.5ms", back)
 	}
 	if now := clock.Now(); now < clock.At(before) {
-		t.Errorf("now is %d us before", clock.At(before)-now)
+		t.Errorf("Now is %d us before an earlier time", clock.At(before)-now)
 	}
 }
 
 func TestWaitReturnsErrorOfEndedContext(t *testing.T) {
-	ended, end := context.WithCancel(context.Background())
-	end()
+	cancelled, cancel := context.WithCancel(context.Background())
+	cancel()
 	for name, c := range map[string]struct {
 		ctx  context.Context
 		wait time.Duration
 		want error
 	}{
-		"time passes":            {context.Background(), time.Millisecond, nil},
-		"no time":                {context.Background(), 0, nil},
-		"context ended":          {ended, time.Hour, context.Canceled},
-		"context ended, no time": {ended, 0, context.Canceled},
+		"time passes":                {context.Background(), time.Millisecond, nil},
+		"no time":                    {context.Background(), 0, nil},
+		"context cancelled":          {cancelled, time.Hour, context.Canceled},
+		"context cancelled, no time": {cancelled, 0, context.Canceled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if err := Wait(c.ctx, c.wait); !errors.Is(err, c.want) {
--- a/internal/timing/wait.go
+++ b/internal/timing/wait.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Wait returns nil after a time, or the context's error as soon as that ends.
+// Wait waits for a duration and returns nil, or returns the context's error as soon as the context ends.
 func Wait(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -12,18 +12,19 @@
 	"baylock/internal/socket"
 )
 
-// Attempt sends a request to one target, once. Its fields are set before Run, which is called once.
+// Attempt sends a request to one target at most once. The fields are set before Run, which is called only once.
 type Attempt struct {
 	Request       *Request
 	Target        Target
-	Deadline      time.Time // for the response; UploadFinished replaces it
-	DedupDeadline time.Time // of a retry: the endpoint may run it again if it arrives later; zero for none
-	Observer      Observer  // needed for requests with a stream and for responses that may be long
+	Deadline      time.Time // of the response; UploadFinished replaces it
+	DedupDeadline time.Time // of a retry: after it the endpoint may run the request a second time; zero for none
+	Observer      Observer  // required for streamed requests and for responses that may exceed the buffer
 
-	earlyResponse atomic.Bool // the endpoint has sent something before all of a streamed request was written
+	earlyResponse atomic.Bool // the endpoint sent bytes before the streamed request was completely written
 }
 
-// Run carries the attempt out. When it returns nothing of the attempt is left. The end of the context cancels it.
+// Run performs the attempt and returns after everything that the attempt started has ended, except for pending dials
+// that the pool takes over. Cancelling the context cancels the attempt.
 func (a *Attempt) Run(ctx context.Context) Result {
 	result := a.run(ctx)
 	stream := a.Request.Stream
@@ -40,7 +41,8 @@
 	return result
 }
 
-// run takes one connection after the other, until one that was idle before is not found closed.
+// run performs the attempt on a reused or new connection. If a reused connection turns out to be unusable before
+// anything was sent, run tries the next connection.
 func (a *Attempt) run(ctx context.Context) Result {
 	for {
 		if result, ok := a.checkStart(ctx); !ok {
@@ -53,14 +55,14 @@
 				return Result{Status: a.connectFailure(ctx, err)}
 			}
 		}
-		reused := c.idleTime > 0 // read now: once the connection is idle another attempt may take it
+		reused := c.idleTime > 0 // read before put, after which another attempt may take the connection
 		result, keep := a.exchange(ctx, c)
 		if keep {
 			a.Target.pool.put(c)
 		} else {
 			a.Target.pool.discard(c)
 		}
-		if !result.connectionClosed || !reused {
+		if !result.connectionUnusable || !reused {
 			return result
 		}
 	}
@@ -72,8 +74,8 @@
 	return a.Target.connect(ctx)
 }
 
-// connectFailure returns the status of an attempt that got no connection. It is NotAttempted where the endpoint is not
-// at fault.
+// connectFailure returns the status of an attempt that got no connection: NotAttempted if the endpoint is not at fault,
+// otherwise ConnectFailed.
 func (a *Attempt) connectFailure(ctx context.Context, err error) balancer.Status {
 	if ctx.Err() != nil || a.pastDedupDeadline() || errors.Is(err, errConnectionLimit) {
 		return balancer.NotAttempted
@@ -81,8 +83,8 @@
 	return balancer.ConnectFailed
 }
 
-// checkStart reports whether the attempt may still start; if not, it returns its result. It is called again right
-// before the first byte, since time passes during a dial.
+// checkStart reports whether the attempt may still start; if not, it returns the attempt's result. It is called again
+// right before the first byte is written, because conditions may change during a dial.
 func (a *Attempt) checkStart(ctx context.Context) (Result, bool) {
 	if ctx.Err() != nil || a.pastDeadline() || a.pastDedupDeadline() || !a.Target.isCurrent() {
 		return Result{Status: balancer.NotAttempted}, false
@@ -94,14 +96,14 @@
 }
 
 // start is called right before the first byte is written. It reports whether the attempt may still start on the
-// connection; if not, it returns its result. Bytes that have arrived before belong to no response of this request, and
-// would be taken for it later.
+// connection; if not, it returns the attempt's result. A connection with unread bytes is not used: they don't belong to
+// this request's response, but would be read as the response.
 func (a *Attempt) start(ctx context.Context, c *conn) (Result, bool) {
 	if result, ok := a.checkStart(ctx); !ok {
 		return result, false
 	}
 	if !socket.IsQuiet(c.Conn) {
-		return Result{Status: balancer.ConnectFailed, connectionClosed: true}, false
+		return Result{Status: balancer.ConnectFailed, connectionUnusable: true}, false
 	}
 	c.written = true
 	return Result{}, true
@@ -109,13 +111,13 @@
 
 func (a *Attempt) pastDeadline() bool { return !time.Now().Before(a.Deadline) }
 
-// pastDedupDeadline reports whether it is too late for a retry: the endpoint may have forgotten the previous attempt,
-// and run the request again.
+// pastDedupDeadline reports whether it is too late for a retry: the endpoint may no longer remember the previous
+// attempt, and would then run the request a second time.
 func (a *Attempt) pastDedupDeadline() bool {
 	return !a.DedupDeadline.IsZero() && !time.Now().Before(a.DedupDeadline)
 }
 
-// sendDeadline limits a deadline for writing by the dedup deadline.
+// sendDeadline returns the earlier of a write deadline and the dedup deadline.
 func (a *Attempt) sendDeadline(deadline time.Time) time.Time {
 	if !a.DedupDeadline.IsZero() && a.DedupDeadline.Before(deadline) {
 		return a.DedupDeadline
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -22,18 +22,18 @@
 	}
 	l.Close()
 	p := newTestPool(4, l.Addr().String())
-	if result := newTestAttempt(t, p, "a", patience).run(); result.Status != balancer.ConnectFailed {
+	if result := newTestAttempt(t, p, "a", testTimeout).run(); result.Status != balancer.ConnectFailed {
 		t.Errorf("got status %v", result.Status)
 	}
 	if p.Stats().Open != 0 {
-		t.Errorf("%d connections still counted", p.Stats().Open)
+		t.Errorf("%d connections are still counted as open", p.Stats().Open)
 	}
 }
 
 func TestAttemptReportsOtherDialErrorAsConnectFailure(t *testing.T) {
 	p := newTestPool(4, "127.0.0.1:1")
 	p.DialContext = func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("too many open files") }
-	if result := newTestAttempt(t, p, "a", patience).run(); result.Status != balancer.ConnectFailed || p.Stats().Open != 0 {
+	if result := newTestAttempt(t, p, "a", testTimeout).run(); result.Status != balancer.ConnectFailed || p.Stats().Open != 0 {
 		t.Errorf("got %v with %d open", result.Status, p.Stats().Open)
 	}
 }
@@ -59,7 +59,7 @@
 		return false
 	})
 	p := newTestPool(4, b.Address)
-	a := newTestAttempt(t, p, "a", patience)
+	a := newTestAttempt(t, p, "a", testTimeout)
 	results := make(chan Result, 1)
 	go func() { results <- a.run() }()
 	backendtest.Receive(t, "request", received)
@@ -88,7 +88,7 @@
 			e.Zone = "b"
 			p.ApplyEndpoints(false, []discovery.Endpoint{e})
 		},
-		"endpoint in another group": func(p *Pool, a *testAttempt) {
+		"endpoint in another cell": func(p *Pool, a *testAttempt) {
 			e := endpointUpdate("a", a.Target.address, discovery.Serving)
 			e.Cell = 7
 			p.ApplyEndpoints(false, []discovery.Endpoint{e})
@@ -100,7 +100,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := backendtest.Start(t, backendtest.Respond(backendtest.OK, true))
 			p := newTestPool(4, b.Address)
-			a := newTestAttempt(t, p, "a", patience)
+			a := newTestAttempt(t, p, "a", testTimeout)
 			dial := p.DialContext
 			p.DialContext = func(_ context.Context, network, addr string) (net.Conn, error) {
 				c, err := dial(context.Background(), network, addr)
@@ -119,23 +119,23 @@
 	}
 }
 
-// shortConn writes five bytes and fails.
-type shortConn struct{ *net.TCPConn }
+// partialWriteConn is a connection whose Write writes only five bytes and fails.
+type partialWriteConn struct{ *net.TCPConn }
 
-func (c shortConn) Write(b []byte) (int, error) {
+func (c partialWriteConn) Write(b []byte) (int, error) {
 	n, err := c.TCPConn.Write(b[:5])
 	return n, cmp.Or(err, net.ErrClosed)
 }
 
-// A write that fails before the last byte proves that the request never ran.
+// If a write fails before the last byte, the endpoint cannot have run the request.
 func TestAttemptReportsPartialWriteAsConnectFailure(t *testing.T) {
 	p := newTestPool(4, backendtest.Start(t, backendtest.Hang(t)).Address)
 	dial := p.DialContext
 	p.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
-		return shortConn{c.(*net.TCPConn)}, err
+		return partialWriteConn{c.(*net.TCPConn)}, err
 	}
-	if result := newTestAttempt(t, p, "a", patience).run(); result.Status != balancer.ConnectFailed {
+	if result := newTestAttempt(t, p, "a", testTimeout).run(); result.Status != balancer.ConnectFailed {
 		t.Errorf("got status %v", result.Status)
 	}
 }
@@ -147,7 +147,7 @@
 		_, _ = io.WriteString(w, backendtest.OK)
 		return true
 	})
-	newTestAttempt(t, newTestPool(4, b.Address), "a", 900*time.Millisecond+patience).run()
+	newTestAttempt(t, newTestPool(4, b.Address), "a", 900*time.Millisecond+testTimeout).run()
 	r := backendtest.Receive(t, "request", got)
 	if r.RequestURI != "/look/k%2f1?x=%20y" || r.Host != "backend.local" || r.Header.Get("Request-Id") != "1" {
 		t.Errorf("got %s %s %v", r.RequestURI, r.Host, r.Header)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// conn is a connection to an endpoint; it carries one request at a time. The pool owns it while it is idle, and one
-// attempt while it is in use.
+// conn is a connection to an endpoint. It carries one request at a time. The pool owns an idle connection; an attempt
+// owns a connection that is in use.
 type conn struct {
 	net.Conn
-	reader     *bufio.Reader // its size limits the head of a response
+	reader     *bufio.Reader // its buffer size limits the size of a response head
 	endpoint   *endpoint
-	generation int           // of the endpoint when the connection was opened
+	generation int           // the endpoint's generation when the connection was opened
 	idleSince  time.Time     // when it was last used; zero if it never was
-	idleTime   time.Duration // before its present use; 0 on the first
-	written    bool          // something was written in its present use
+	idleTime   time.Duration // how long it was idle before its current use; 0 if it is new
+	written    bool          // at least one byte was written in its current use
 
-	stallTimeout time.Duration // limit of each read; 0 for none
-	readDeadline time.Time     // limit of all reads while stallTimeout is set; zero for none
-	aborted      atomic.Bool   // all reads and writes fail
+	stallTimeout time.Duration // time limit of each read; 0 for none
+	readDeadline time.Time     // overall limit of all reads while stallTimeout is set; zero for none
+	aborted      atomic.Bool   // set by abort; all reads and writes fail
 }
 
 func newConn(nc net.Conn, target Target) *conn {
@@ -31,18 +31,19 @@
 	return c
 }
 
-// abort ends all reads and writes, now and later.
+// abort makes all pending and future reads and writes fail.
 func (c *conn) abort() {
 	c.aborted.Store(true)
 	_ = c.SetDeadline(time.Unix(1, 0))
 }
 
-// limitReads gives each read a time limit, and all of them a deadline if that is not zero.
+// limitReads sets a time limit for each read and, unless it is zero, a common deadline for all reads. With a
+// stallTimeout of 0, Read sets no deadlines.
 func (c *conn) limitReads(stallTimeout time.Duration, deadline time.Time) {
 	c.stallTimeout, c.readDeadline = stallTimeout, deadline
 }
 
-// Read implements io.Reader within the limits of limitReads.
+// Read implements io.Reader and applies the limits that limitReads has set.
 func (c *conn) Read(b []byte) (int, error) {
 	if c.stallTimeout > 0 {
 		deadline := time.Now().Add(c.stallTimeout)
@@ -50,12 +51,12 @@
 			deadline = c.readDeadline
 		}
 		_ = c.SetReadDeadline(deadline)
-		if c.aborted.Load() { // while the deadline was set
+		if c.aborted.Load() { // abort may have been called before SetReadDeadline replaced its deadline
 			return 0, os.ErrDeadlineExceeded
 		}
 	}
 	return c.Conn.Read(b)
 }
 
-// SyscallConn implements syscall.Conn, so that the socket's state can be read.
+// SyscallConn implements syscall.Conn, so that package socket can inspect the connection.
 func (c *conn) SyscallConn() (syscall.RawConn, error) { return c.Conn.(syscall.Conn).SyscallConn() }
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// errConnectionLimit reports that as many connections are in use as may be open.
+// errConnectionLimit reports that the maximum number of connections is in use.
 var errConnectionLimit = errors.New("connection limit reached")
 
 func (p *Pool) dialWithTimeout(ctx context.Context, network, address string) (net.Conn, error) {
@@ -16,7 +16,7 @@
 	return d.DialContext(ctx, network, address)
 }
 
-// dial opens a connection to the target. The error is errConnectionLimit if there is no capacity.
+// dial opens a connection to the target. It fails with errConnectionLimit if all connections of the pool are in use.
 func (t Target) dial(ctx context.Context) (*conn, error) {
 	if !t.pool.reserve() {
 		return nil, fmt.Errorf("dial %s: %w", t.endpoint.name, errConnectionLimit)
--- a/internal/upstream/dial_race.go
+++ b/internal/upstream/dial_race.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// dialRace opens one connection by up to maxRacingDials dials to the same endpoint. Nothing is written before one of
-// them has succeeded, so that requests of every class may race.
+// dialRace opens a connection with up to maxRacingDials concurrent dials to the same endpoint. Nothing is written until
+// a dial has succeeded, so racing is safe for requests of every class.
 type dialRace struct {
 	target  Target
-	results chan dialResult // one for each dial; holds all, so that no dial waits for a reader
+	results chan dialResult // one for each dial; buffers all results, so that no dial goroutine blocks on sending
 	started int
 	pending int
 }
@@ -19,49 +19,50 @@
 	err  error
 }
 
-// connect returns a connection to the target: a dialed one, or one that becomes idle meanwhile. A dial that is late is
-// hedged by another one. Connections that come up after the first become idle; the pool owns the goroutine that waits
-// for them. After an error nothing of the race is left.
+// connect returns a connection to the target: a new one, or one that becomes idle during the dial. It hedges a slow
+// dial with another dial. Connections that are established after the first one go to the pool as idle connections, and
+// the pool owns the goroutine that waits for them. If connect returns an error, no dial is left running.
 func (t Target) connect(ctx context.Context) (*conn, error) {
-	dialing, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	dialCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	r := &dialRace{target: t, results: make(chan dialResult, maxRacingDials)}
-	c, err := r.run(ctx, dialing)
+	c, err := r.run(ctx, dialCtx)
 	if err != nil {
 		cancel()
-		r.keepLate(cancel)
+		r.poolLateConns(cancel)
 		return nil, err
 	}
-	t.pool.lateDials.Go(func() { r.keepLate(cancel) })
+	t.pool.lateDials.Go(func() { r.poolLateConns(cancel) })
 	return c, nil
 }
 
-// run waits for the first connection or refusal. Dials have a context of their own, as they may outlive ctx.
-func (r *dialRace) run(ctx, dialing context.Context) (*conn, error) {
+// run starts the dials and returns the result of the first one that ends, or an idle connection if there is one when
+// the hedge delay expires. The dials use dialCtx because they may outlive ctx.
+func (r *dialRace) run(ctx, dialCtx context.Context) (*conn, error) {
 	pool, zone := r.target.pool, r.target.zone()
-	delay := pool.hedging.begin(zone)
-	late := time.NewTimer(delay)
-	defer late.Stop()
-	r.dial(dialing, zone)
+	delay := pool.hedging.beginRace(zone)
+	hedgeTimer := time.NewTimer(delay)
+	defer hedgeTimer.Stop()
+	r.dial(dialCtx, zone)
 	for {
 		select {
 		case result := <-r.results:
 			r.pending--
-			return result.conn, result.err // an endpoint that refuses one dial is not waited for
-		case <-late.C:
+			return result.conn, result.err // if one dial fails, the pending dials are not waited for
+		case <-hedgeTimer.C:
 			if c := r.target.reuse(); c != nil {
 				return c, nil
 			}
 			if r.started < maxRacingDials && pool.hasCapacity() && pool.hedging.allow() {
-				r.dial(dialing, zone)
+				r.dial(dialCtx, zone)
 			}
-			late.Reset(delay)
+			hedgeTimer.Reset(delay)
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// dial starts one more dial. keepLate or run receives its result.
+// dial starts another dial. run or poolLateConns receives its result.
 func (r *dialRace) dial(ctx context.Context, zone string) {
 	r.started++
 	r.pending++
@@ -75,9 +76,9 @@
 	}()
 }
 
-// keepLate waits for the pending dials and puts their connections into the pool. cancel ends the dials; it is called
-// once the pool closes, and at the end.
-func (r *dialRace) keepLate(cancel context.CancelFunc) {
+// poolLateConns waits for the pending dials and puts their connections into the pool. It calls cancel, which ends the
+// dials, when the pool closes and before it returns.
+func (r *dialRace) poolLateConns(cancel context.CancelFunc) {
 	defer cancel()
 	for closed := r.target.pool.closed; r.pending > 0; {
 		select {
--- a/internal/upstream/dial_race_test.go
+++ b/internal/upstream/dial_race_test.go
@@ -11,7 +11,7 @@
 	"baylock/internal/backendtest"
 )
 
-// lateDialer delays its first dial until it is released, and counts all dials.
+// lateDialer blocks its first dial until release is closed, and counts all dials.
 type lateDialer struct {
 	dial    func(ctx context.Context, network, addr string) (net.Conn, error)
 	release chan struct{}
@@ -29,7 +29,7 @@
 	return d.dial(ctx, network, addr)
 }
 
-// withLateDialer makes a pool dial by a lateDialer.
+// withLateDialer makes a pool dial through a new lateDialer.
 func withLateDialer(p *Pool) *lateDialer {
 	d := &lateDialer{dial: p.DialContext, release: make(chan struct{})}
 	p.DialContext = d.dialContext
@@ -40,7 +40,7 @@
 	b := backendtest.Start(t, backendtest.Respond(backendtest.OK, true))
 	p := newTestPool(4, b.Address)
 	d := withLateDialer(p)
-	if result := newTestAttempt(t, p, "a", patience).run(); result.Status != balancer.OK {
+	if result := newTestAttempt(t, p, "a", testTimeout).run(); result.Status != balancer.OK {
 		t.Fatalf("got status %v", result.Status)
 	}
 	if n := b.Requests.Load(); n != 1 {
@@ -56,8 +56,8 @@
 func TestPoolCloseEndsLateDials(t *testing.T) {
 	b := backendtest.Start(t, backendtest.Respond(backendtest.OK, true))
 	p := newTestPool(4, b.Address)
-	withLateDialer(p) // its first dial ends only when it is cancelled
-	if result := newTestAttempt(t, p, "a", patience).run(); result.Status != balancer.OK {
+	withLateDialer(p) // never released, so the first dial ends only when it is cancelled
+	if result := newTestAttempt(t, p, "a", testTimeout).run(); result.Status != balancer.OK {
 		t.Fatalf("got status %v", result.Status)
 	}
 	p.Close()
@@ -75,7 +75,7 @@
 	}
 	d := withLateDialer(p)
 	p.hedging.tokens = 0 // no hedge is allowed
-	a := newTestAttempt(t, p, "a", patience)
+	a := newTestAttempt(t, p, "a", testTimeout)
 	results := make(chan Result, 1)
 	go func() { results <- a.run() }()
 	backendtest.WaitUntil(t, func() bool { return d.dials.Load() == 1 })
@@ -93,7 +93,7 @@
 	b := backendtest.Start(t, backendtest.Respond(backendtest.OK, true))
 	p := newTestPool(4, b.Address)
 	d := withLateDialer(p)
-	a := newTestAttempt(t, p, "a", patience)
+	a := newTestAttempt(t, p, "a", testTimeout)
 	results := make(chan Result, 1)
 	go func() { results <- a.run() }()
 	backendtest.WaitUntil(t, func() bool { return d.dials.Load() == 1 })
@@ -106,7 +106,7 @@
 	}
 }
 
-// An endpoint that refuses one dial is not waited for, though another dial is pending.
+// A refused dial ends the race even if another dial is still pending.
 func TestRefusedDialEndsRace(t *testing.T) {
 	p := newTestPool(4, "127.0.0.1:1")
 	var dials atomic.Int32
@@ -117,7 +117,7 @@
 		}
 		return nil, errors.New("connection refused")
 	}
-	if result := newTestAttempt(t, p, "a", patience).run(); result.Status != balancer.ConnectFailed {
+	if result := newTestAttempt(t, p, "a", testTimeout).run(); result.Status != balancer.ConnectFailed {
 		t.Errorf("got status %v", result.Status)
 	}
 }
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -2,20 +2,20 @@
 
 import "baylock/internal/discovery"
 
-// endpoint is one endpoint of the list. The pool's lock guards its fields, but for name.
+// endpoint is an entry of the endpoint list. Pool.mu guards all fields except name.
 type endpoint struct {
 	name       string
 	address    string
 	zone       string
-	cell       int     // its endpoints recognize each other's retries
-	startedMs  int64   // start of the process, in Unix milliseconds
-	serving    bool    // as the list says
+	cell       int     // endpoints of one cell deduplicate each other's retries
+	startedMs  int64   // start time of the process, in Unix milliseconds
+	serving    bool    // according to the list
 	ready      bool    // serving, and not detached by an operator
-	generation int     // counts the changes of all of this, removal included
-	idle       []*conn // the most recently used last
+	generation int     // incremented on each change of the fields above, and on removal
+	idle       []*conn // in the order in which they were returned to the pool
 }
 
-// Target is one generation of an endpoint, to which an attempt is sent. It stays valid until the endpoint changes.
+// Target is one generation of an endpoint, as the destination of an attempt. It is valid until the endpoint changes.
 type Target struct {
 	pool       *Pool
 	endpoint   *endpoint
@@ -23,7 +23,7 @@
 	generation int
 }
 
-// Find returns the listed endpoint of a name, if it takes new requests.
+// Find returns the listed endpoint with the given name if it accepts new requests.
 func (p *Pool) Find(name string) (Target, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -34,29 +34,30 @@
 	return Target{pool: p, endpoint: e, address: e.address, generation: e.generation}, true
 }
 
-// Contains reports whether an endpoint is listed, also one that takes no requests.
+// Contains reports whether an endpoint is listed, whether or not it accepts requests.
 func (p *Pool) Contains(name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.endpoints[name] != nil
 }
 
-// isCurrent reports whether the endpoint has not changed since the target was found.
+// isCurrent reports whether the endpoint is unchanged since Find returned the target.
 func (t Target) isCurrent() bool {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
 	return t.endpoint.generation == t.generation
 }
 
-// zone returns the endpoint's present zone.
+// zone returns the endpoint's current zone.
 func (t Target) zone() string {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
 	return t.endpoint.zone
 }
 
-// ApplyEndpoints takes a complete list, or its changes. Idle connections to an endpoint that has changed are closed:
-// nothing new may go to it, or another process may be at its address.
+// ApplyEndpoints applies a complete endpoint list or a set of changes to it. It closes the idle connections of each
+// endpoint that has changed, because the endpoint may no longer accept requests or another process may now use its
+// address.
 func (p *Pool) ApplyEndpoints(complete bool, endpoints []discovery.Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,8 +97,9 @@
 	}
 }
 
-// SetDetached detaches an endpoint, so that it gets no new requests, or attaches it again. Both close its idle
-// connections, since it may have been restarted meanwhile. The endpoint need not be listed yet.
+// SetDetached detaches an endpoint, so that it gets no new requests, or attaches it again. In both cases it closes the
+// endpoint's idle connections, because the endpoint may have been restarted in the meantime. The endpoint need not be
+// listed yet.
 func (p *Pool) SetDetached(name string, detached bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -18,11 +18,11 @@
 // timeoutHeader tells an endpoint how much time is left for the request, in milliseconds.
 const timeoutHeader = "Request-Timeout-Ms"
 
-// exchange writes the request and reads the response. keep reports whether the connection can be used again.
+// exchange writes the request and reads the response. keep reports whether the connection can be reused.
 func (a *Attempt) exchange(ctx context.Context, c *conn) (result Result, keep bool) {
-	unhook := context.AfterFunc(ctx, c.abort)
+	stopAbort := context.AfterFunc(ctx, c.abort)
 	defer func() {
-		if !unhook() {
+		if !stopAbort() {
 			keep = false
 		}
 	}()
@@ -40,11 +40,11 @@
 		return Result{Status: balancer.NotAttempted}, true
 	}
 	if result, ok := a.start(ctx, c); !ok {
-		return result, !result.connectionClosed
+		return result, !result.connectionUnusable
 	}
-	written := time.Now()
+	writeStart := time.Now()
 	if _, err := c.Write(request); err != nil {
-		// The last byte was not written, so the endpoint cannot have started the request.
+		// The last byte was not written, so the endpoint cannot have started to run the request.
 		return Result{Status: balancer.ConnectFailed}, false
 	}
 	result, keep, err = a.readResponse(ctx, c)
@@ -53,7 +53,7 @@
 	}
 	status := a.readFailure(ctx)
 	if status == balancer.Reset && c.idleTime > 0 && errors.Is(err, errNoResponse) &&
-		time.Since(written) < a.Target.pool.staleResetWindow {
+		time.Since(writeStart) < a.Target.pool.staleResetWindow {
 		a.Target.pool.reportStale(c)
 	}
 	return Result{Status: status}, false
@@ -61,7 +61,7 @@
 
 func (a *Attempt) exchangeStreamed(ctx context.Context, c *conn) (result Result, keep bool) {
 	if result, ok := a.upload(ctx, c); !ok {
-		return result, !c.written && !result.connectionClosed
+		return result, !c.written && !result.connectionUnusable
 	}
 	result, keep, err := a.readResponse(ctx, c)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return result, keep
 }
 
-// readFailure returns the status of an attempt whose request was written and whose response could not be read.
+// readFailure returns the status of an attempt that wrote its request but could not read a valid response.
 func (a *Attempt) readFailure(ctx context.Context) balancer.Status {
 	switch {
 	case ctx.Err() != nil && !a.pastDeadline():
@@ -82,7 +82,7 @@
 	}
 }
 
-// encode returns the whole request, so that the result of one write tells whether its last byte was written.
+// encode returns the whole request. It is written in one call, whose error shows that the last byte was not written.
 func (a *Attempt) encode() ([]byte, error) {
 	var buf bytes.Buffer
 	if err := a.httpRequest(bytes.NewReader(a.Request.Body)).Write(&buf); err != nil {
@@ -91,7 +91,7 @@
 	return buf.Bytes(), nil
 }
 
-// httpRequest returns the request as the endpoint gets it, with the time that is left.
+// httpRequest returns the request as it is sent to the endpoint, with the remaining time in its header.
 func (a *Attempt) httpRequest(body io.Reader) *http.Request {
 	r := a.Request
 	timeoutMs := max(1, time.Until(a.Deadline).Milliseconds())
--- a/internal/upstream/forward_test.go
+++ b/internal/upstream/forward_test.go
@@ -14,7 +14,7 @@
 	"baylock/internal/message"
 )
 
-// responseObserver receives responses that are forwarded. It expects no streamed request.
+// responseObserver receives the responses that are forwarded. It panics on a streamed request.
 type responseObserver chan *message.ResponseStream
 
 func (o responseObserver) UploadFinished(time.Time) (deadline time.Time) {
@@ -23,11 +23,11 @@
 
 func (o responseObserver) ResponseStarted(response *message.ResponseStream) { o <- response }
 
-// startLongResponse starts an attempt that is answered with more bytes than are buffered, and waits until they begin to
-// arrive.
+// startLongResponse starts an attempt whose response is too long to be buffered, and waits until forwarding of the
+// response starts.
 func startLongResponse(t *testing.T, p *Pool) (*testAttempt, *message.ResponseStream, <-chan Result) {
 	t.Helper()
-	a := newTestAttempt(t, p, "a", patience)
+	a := newTestAttempt(t, p, "a", testTimeout)
 	observer := make(responseObserver, 1)
 	a.Observer = observer
 	results := make(chan Result, 1)
@@ -40,8 +40,8 @@
 	text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Type: text/x\r\n\r\n", length) + strings.Repeat("x", length)
 	for _, c := range []struct {
 		name     string
-		delivery error // how delivery to the client went
-		idle     int   // connections that may be used again
+		delivery error // result of the delivery to the client
+		idle     int   // connections that can be reused afterwards
 	}{
 		{"delivered", nil, 1},
 		{"client failed", errors.New("client gone"), 0},
@@ -50,7 +50,7 @@
 			p := newTestPool(4, backendtest.Start(t, backendtest.Respond(text, true)).Address)
 			_, response, results := startLongResponse(t, p)
 			rest, err := io.ReadAll(response.Body)
-			if got := len(response.First) + len(rest); err != nil || got != length || response.Length != length || response.ContentType != "text/x" {
+			if got := len(response.Prefix) + len(rest); err != nil || got != length || response.Length != length || response.ContentType != "text/x" {
 				t.Errorf("got %d bytes of %d, %q, %v", got, response.Length, response.ContentType, err)
 			}
 			response.Done <- c.delivery
@@ -89,12 +89,12 @@
 		length int64
 		want   int
 	}{
-		{"body breaks off", io.MultiReader(strings.NewReader("abc"), failingReader{}), 100_000, http.StatusBadRequest},
-		{"body over the limit", io.LimitReader(endless{}, message.MaxBody+1), -1, http.StatusRequestEntityTooLarge},
+		{"body truncated", io.MultiReader(strings.NewReader("abc"), failingReader{}), 100_000, http.StatusBadRequest},
+		{"body over the limit", io.LimitReader(endlessReader{}, message.MaxBody+1), -1, http.StatusRequestEntityTooLarge},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := newTestPool(4, backendtest.Start(t, backendtest.Respond(backendtest.OK, true)).Address)
-			a := newTestAttempt(t, p, "a", patience)
+			a := newTestAttempt(t, p, "a", testTimeout)
 			a.Request.Method = http.MethodPost
 			a.Request.Stream = newRequestStream(t, c.body, c.length)
 			result := a.run()
@@ -109,6 +109,6 @@
 
 func (failingReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-type endless struct{}
+type endlessReader struct{}
 
-func (endless) Read(b []byte) (int, error) { return len(b), nil }
+func (endlessReader) Read(b []byte) (int, error) { return len(b), nil }
--- a/internal/upstream/hedge.go
+++ b/internal/upstream/hedge.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// Limits of hedged dials. The delays are those that RFC 8305 gives for racing connections.
+// Limits of hedged dials. The delays are the values that RFC 8305 (Happy Eyeballs) recommends for racing connections.
 const (
-	connectTimeSamples = 32                     // of a zone
-	hedgeDelayFactor   = 4                      // a dial is late after so many median connect times
-	initialHedgeDelay  = 250 * time.Millisecond // while no connect time is known
+	connectTimeSamples = 32                     // kept per zone
+	hedgeDelayFactor   = 4                      // a dial is hedged after this multiple of the median connect time
+	initialHedgeDelay  = 250 * time.Millisecond // used while no connect time is known
 	minHedgeDelay      = 30 * time.Millisecond
 	maxHedgeDelay      = 2 * time.Second
-	maxRacingDials     = 4 // of one attempt
+	maxRacingDials     = 4 // dials of one attempt, the first included
 
-	// Each hedge costs its endpoint a handshake, so a token bucket limits them.
-	hedgeTokensPerDial = 0.75 // for each first dial
+	// Each hedge costs the endpoint a handshake, so a token bucket limits the number of hedges.
+	hedgeTokensPerDial = 0.75 // added for the first dial of each race
 	maxHedgeTokens     = 10.0
 )
 
-// hedgePolicy decides when a late dial is hedged by another one, and limits hedges to a part of all dials. It is safe
-// for concurrent use.
+// hedgePolicy decides when a slow dial is hedged with another dial, and limits hedges to a fraction of all dials. It is
+// safe for concurrent use.
 type hedgePolicy struct {
 	mu     sync.Mutex // guards the fields below
 	zones  map[string]*connectTimes
-	tokens float64 // each allows one hedge
+	tokens float64 // token bucket; a hedge takes one token
 }
 
-// connectTimes is a ring of the latest connect times of one zone.
+// connectTimes is a ring buffer of the latest connect times in one zone.
 type connectTimes struct {
 	samples []time.Duration
-	oldest  int // index, once the ring is full
+	oldest  int // index of the oldest sample once the ring is full
 }
 
 func newHedgePolicy() *hedgePolicy {
 	return &hedgePolicy{zones: map[string]*connectTimes{}, tokens: maxHedgeTokens}
 }
 
-// begin counts the first dial of a race in a zone and returns the delay after which a dial is late.
-func (h *hedgePolicy) begin(zone string) time.Duration {
+// beginRace counts the first dial of a race in a zone and returns the delay after which a pending dial is hedged.
+func (h *hedgePolicy) beginRace(zone string) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.tokens = min(maxHedgeTokens, h.tokens+hedgeTokensPerDial)
@@ -82,7 +82,7 @@
 	t.oldest = (t.oldest + 1) % connectTimeSamples
 }
 
-// median returns the usual connect time. Late connections do not move it while they are the smaller part.
+// median returns the median connect time. Slow connects do not raise it as long as they are a minority.
 func (t *connectTimes) median() time.Duration {
 	sorted := slices.Sorted(slices.Values(t.samples))
 	return sorted[len(sorted)/2]
--- a/internal/upstream/hedge_test.go
+++ b/internal/upstream/hedge_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// All dials are late.
-func TestHedgePolicyLimitsHedgesToPartOfDials(t *testing.T) {
+// Every dial is slow, so each race asks for as many hedges as possible.
+func TestHedgePolicyLimitsHedgesToFractionOfDials(t *testing.T) {
 	h := newHedgePolicy()
 	const firstDials = 1000
 	hedges := 0
 	for range firstDials {
-		h.begin("z")
+		h.beginRace("z")
 		for range maxRacingDials - 1 {
 			if h.allow() {
 				hedges++
@@ -25,32 +25,32 @@
 
 func TestHedgePolicyDelayFollowsMedianConnectTime(t *testing.T) {
 	h := newHedgePolicy()
-	if got := h.begin("z"); got != initialHedgeDelay {
-		t.Errorf("with no connect time known: %v", got)
+	if got := h.beginRace("z"); got != initialHedgeDelay {
+		t.Errorf("without connect times: got %v", got)
 	}
-	for i := range 3 * connectTimeSamples { // a third of them late
+	for i := range 3 * connectTimeSamples { // a third of them slow
 		connectTime := 20 * time.Millisecond
 		if i%3 == 0 {
 			connectTime = time.Second
 		}
 		h.observe("z", connectTime)
 	}
-	if got := h.begin("z"); got != hedgeDelayFactor*20*time.Millisecond {
-		t.Errorf("with a third late: %v", got)
+	if got := h.beginRace("z"); got != hedgeDelayFactor*20*time.Millisecond {
+		t.Errorf("with a third slow: got %v", got)
 	}
-	if got := h.begin("y"); got != initialHedgeDelay {
-		t.Errorf("with connect times of another zone only: %v", got)
+	if got := h.beginRace("y"); got != initialHedgeDelay {
+		t.Errorf("with connect times of another zone only: got %v", got)
 	}
-	for range connectTimeSamples { // all slow, as a hedge would be
+	for range connectTimeSamples { // all slow, so a hedge would be slow too
 		h.observe("z", time.Second)
 	}
-	if got := h.begin("z"); got != maxHedgeDelay {
-		t.Errorf("with all slow: %v", got)
+	if got := h.beginRace("z"); got != maxHedgeDelay {
+		t.Errorf("with all slow: got %v", got)
 	}
 	for range connectTimeSamples {
 		h.observe("z", time.Microsecond)
 	}
-	if got := h.begin("z"); got != minHedgeDelay {
-		t.Errorf("with all fast: %v", got)
+	if got := h.beginRace("z"); got != minHedgeDelay {
+		t.Errorf("with all fast: got %v", got)
 	}
 }
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -11,13 +11,13 @@
 	"baylock/internal/message"
 )
 
-const patience = backendtest.Patience // for what must happen
+const testTimeout = backendtest.Timeout // for events that must happen
 
 func endpointUpdate(name, address string, status discovery.Status) discovery.Endpoint {
 	return discovery.Endpoint{Name: name, Address: address, Zone: "a", Status: status}
 }
 
-// newTestPool returns a pool of endpoints a, b, ... at the addresses.
+// newTestPool returns a pool with endpoints named a, b, ... at the given addresses.
 func newTestPool(maxOpen int, addresses ...string) *Pool {
 	p := NewPool(5*time.Second, 40*time.Second, maxOpen)
 	var endpoints []discovery.Endpoint
@@ -28,17 +28,17 @@
 	return p
 }
 
-// findTarget returns an endpoint that has to be listed.
+// findTarget returns the target of an endpoint, and fails the test if the pool has none.
 func findTarget(t *testing.T, p *Pool, name string) Target {
 	t.Helper()
 	target, ok := p.Find(name)
 	if !ok {
-		t.Fatalf("no endpoint %s", name)
+		t.Fatalf("endpoint %s is not listed or not ready", name)
 	}
 	return target
 }
 
-// testAttempt is an attempt with its context.
+// testAttempt is an attempt with its own context.
 type testAttempt struct {
 	*Attempt
 	ctx    context.Context
@@ -56,17 +56,17 @@
 
 func (a *testAttempt) run() Result { return a.Run(a.ctx) }
 
-// uploadObserver returns the deadline for the response to a streamed request. It takes no response that is forwarded.
+// uploadObserver returns the deadline for the response to a streamed request. It panics if a response is forwarded.
 type uploadObserver func(at time.Time) (deadline time.Time)
 
 func (o uploadObserver) UploadFinished(at time.Time) (deadline time.Time) { return o(at) }
 
 func (o uploadObserver) ResponseStarted(*message.ResponseStream) {
-	panic("a response of this length was not expected")
+	panic("a forwarded response was not expected")
 }
 
-// ageIdle lets the idle connections have been idle for a time.
-func ageIdle(p *Pool, idleTime time.Duration) {
+// setIdleTime sets how long all idle connections have been idle.
+func setIdleTime(p *Pool, idleTime time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, e := range p.endpoints {
@@ -76,8 +76,8 @@
 	}
 }
 
-// restIdle lets the idle connections have rested for long enough to be used again.
-func restIdle(p *Pool) {
+// makeIdleReusable adds ReuseDelay to the idle time of all idle connections, so that they can be reused.
+func makeIdleReusable(p *Pool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, e := range p.endpoints {
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -8,20 +8,22 @@
 )
 
 const (
-	// ReuseDelay is how long a connection rests before it is used again. Stray bytes that follow a response arrive
-	// within it; on a connection in use they would be taken for the next response.
+	// ReuseDelay is how long a connection stays idle before it is reused. Stray bytes after a response arrive within
+	// this time; if the connection were reused earlier, they would be read as the next response.
 	ReuseDelay = 20 * time.Millisecond
 
-	// staleResetWindow is how soon a request on an idle connection is reset if the endpoint had dropped it silently.
+	// staleResetWindow is the time within which a request on a reused connection is reset if the endpoint had silently
+	// dropped the connection while it was idle.
 	staleResetWindow = 10 * time.Millisecond
 
-	// After a stale connection only those that have been idle for half as long as it are used, though not less than
-	// minReuseLimit. The limit grows again by reuseLimitGrowth at each sweep.
+	// After a stale connection the pool reuses only connections that have been idle for less than half as long as the
+	// stale one, but this limit is at least minReuseLimit. Each sweep multiplies the limit by reuseLimitGrowth again.
 	minReuseLimit    = 2 * ReuseDelay
 	reuseLimitGrowth = 1.05
 )
 
-// reuse takes the most recently used idle connection that has rested and is quiet. It returns nil if there is none.
+// reuse removes and returns the most recently used idle connection that has been idle for ReuseDelay and is quiet. It
+// returns nil if there is none.
 func (t Target) reuse() *conn {
 	p, e := t.pool, t.endpoint
 	p.mu.Lock()
@@ -46,7 +48,7 @@
 	return nil
 }
 
-// put makes a connection idle, or closes it if its endpoint has changed since it was opened.
+// put returns a connection to the pool as idle, or closes it if its endpoint has changed since it was opened.
 func (p *Pool) put(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -55,7 +57,7 @@
 		p.closeLocked(c)
 		return
 	}
-	if c.written || c.idleSince.IsZero() { // to its peer, one that nothing was written to has been idle all along
+	if c.written || c.idleSince.IsZero() { // if nothing was written, the peer has seen no activity
 		c.idleSince = time.Now()
 	}
 	c.written = false
@@ -70,15 +72,15 @@
 	p.closeLocked(c)
 }
 
-// reportStale lowers the reuse limit after a connection that its endpoint had dropped silently while it was idle.
+// reportStale lowers the reuse limit after an endpoint has silently dropped a connection that was idle.
 func (p *Pool) reportStale(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reuseLimit = max(minReuseLimit, min(p.reuseLimit, c.idleTime/2))
 }
 
-// Sweep closes the connections that have been idle for too long or that their endpoints have closed. It is called
-// once a second.
+// Sweep closes the connections that have been idle for too long or that their endpoints have closed, and raises the
+// reuse limit. It is called once a second.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -10,27 +10,26 @@
 
 // Pool holds the connections to all listed endpoints. It is safe for concurrent use.
 type Pool struct {
-	// DialContext opens connections. It is set before the first use of the pool; NewPool sets one that keeps to the
-	// dial timeout.
+	// DialContext opens connections. It may be replaced before the first use of the pool; NewPool sets a function that
+	// applies the dial timeout.
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 
-	dialTimeout      atomic.Int64  // of the default DialContext, in nanoseconds
-	staleResetWindow time.Duration // see the constant of this name
+	dialTimeout      atomic.Int64  // used by the default DialContext, in nanoseconds
+	staleResetWindow time.Duration // the constant of this name, except in tests
 	hedging          *hedgePolicy
-	lateDials        sync.WaitGroup // goroutines that keep the connections of lost races
+	lateDials        sync.WaitGroup // goroutines that wait for the losing dials of races and pool their connections
 	closed           chan struct{}  // closed by Close
 
-	mu          sync.Mutex    // guards the fields below and those of all endpoints
-	idleTimeout time.Duration // connections that have been idle for longer are closed
-	reuseLimit  time.Duration // and those idle for longer than this are not used; at most idleTimeout
-	maxOpen     int           // connections, those being dialed included
-	open        int           // connections, those being dialed included
+	mu          sync.Mutex    // guards the fields below and the fields of all endpoints
+	idleTimeout time.Duration // maximum idle time; Sweep closes connections that exceed it
+	reuseLimit  time.Duration // connections idle for longer are not reused; at most idleTimeout
+	maxOpen     int           // maximum of open
+	open        int           // open connections, including those being dialed
 	endpoints   map[string]*endpoint
-	detached    map[string]bool // names of endpoints that operators have detached, listed or not
+	detached    map[string]bool // names of endpoints that operators have detached, whether listed or not
 }
 
-// NewPool returns a pool without endpoints that opens at most maxOpen connections. The timeouts are those of
-// SetTimeouts.
+// NewPool returns a pool without endpoints that opens at most maxOpen connections. SetTimeouts describes the timeouts.
 func NewPool(dialTimeout, endpointIdleTimeout time.Duration, maxOpen int) *Pool {
 	p := &Pool{maxOpen: maxOpen, staleResetWindow: staleResetWindow, hedging: newHedgePolicy(),
 		closed: make(chan struct{}), endpoints: map[string]*endpoint{}, detached: map[string]bool{}}
@@ -39,21 +38,21 @@
 	return p
 }
 
-// SetTimeouts sets the time limit of a dial, and after how long endpoints close idle connections; the pool closes them
-// well before. Open connections stay, and dials that have begun keep their limit.
+// SetTimeouts sets the timeout of a dial and the time after which endpoints close idle connections; the pool closes
+// idle connections well before that. Open connections stay open, and pending dials keep their previous timeout.
 func (p *Pool) SetTimeouts(dialTimeout, endpointIdleTimeout time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dialTimeout.Store(int64(dialTimeout))
 	previous := p.idleTimeout
 	p.idleTimeout = endpointIdleTimeout * 3 / 4
-	if p.reuseLimit == previous { // no endpoint has closed a connection early
+	if p.reuseLimit == previous { // not lowered by a stale connection
 		p.reuseLimit = p.idleTimeout
 	}
 	p.reuseLimit = min(p.reuseLimit, p.idleTimeout)
 }
 
-// SetMaxOpen sets how many connections may be open. Idle ones above that are closed.
+// SetMaxOpen sets the maximum number of open connections and closes idle connections that exceed it.
 func (p *Pool) SetMaxOpen(maxOpen int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,18 +61,18 @@
 	}
 }
 
-// Stats describes the pool at one instant.
+// Stats is a snapshot of the pool's state.
 type Stats struct {
-	Endpoints   int // listed
-	MaxOpen     int // connections
-	Open        int // connections, those being dialed included
-	Idle        int // connections
+	Endpoints   int // listed endpoints
+	MaxOpen     int // maximum of Open
+	Open        int // open connections, including those being dialed
+	Idle        int // idle connections
 	DialTimeout time.Duration
-	IdleTimeout time.Duration // connections idle for longer are closed
-	ReuseLimit  time.Duration // connections idle for longer are not used
+	IdleTimeout time.Duration // connections that are idle for longer are closed
+	ReuseLimit  time.Duration // connections that are idle for longer are not reused
 }
 
-// Stats returns the present state of the pool.
+// Stats returns the current state of the pool.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,8 +84,8 @@
 	return s
 }
 
-// Close cancels the dials that no attempt waits for, waits until they have ended, and closes the idle connections. No
-// attempt may be in flight, or begin later.
+// Close cancels the remaining dials of finished attempts, waits until they have ended and closes the idle connections.
+// No attempt may be in flight or start later.
 func (p *Pool) Close() {
 	close(p.closed)
 	p.lateDials.Wait()
@@ -104,8 +103,8 @@
 	return p.open < p.maxOpen
 }
 
-// reserve counts a connection that is about to be dialed. At the limit it closes the connection that has been idle for
-// longest, and reports false if there is none.
+// reserve counts a connection that is about to be dialed. At the limit it closes the connection that has been idle the
+// longest, and returns false if no connection is idle.
 func (p *Pool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,14 +117,14 @@
 	return true
 }
 
-// unreserve undoes reserve after a dial that failed.
+// unreserve reverts reserve after a failed dial.
 func (p *Pool) unreserve() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
 }
 
-// closeOldestLocked closes the connection that has been idle for longest, and reports whether there was one.
+// closeOldestLocked closes the connection that has been idle the longest, and reports whether there was one.
 func (p *Pool) closeOldestLocked() bool {
 	var oldest *endpoint
 	for _, e := range p.endpoints {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -15,14 +15,14 @@
 )
 
 func TestPoolSkipsConnectionThatItsPeerClosed(t *testing.T) {
-	b := backendtest.Start(t, backendtest.Respond(backendtest.OK, false)) // closes in spite of keep-alive
+	b := backendtest.Start(t, backendtest.Respond(backendtest.OK, false)) // closes the connection without announcing it
 	p := newTestPool(4, b.Address)
 	for n := range 3 {
-		if result := newTestAttempt(t, p, "a", patience).run(); result.Status != balancer.OK {
+		if result := newTestAttempt(t, p, "a", testTimeout).run(); result.Status != balancer.OK {
 			t.Fatalf("attempt %d: got %v", n, result.Status)
 		}
 		backendtest.Receive(t, "close", b.Closed)
-		backendtest.WaitUntil(t, func() bool { // the close has arrived
+		backendtest.WaitUntil(t, func() bool { // until the close has arrived
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			return !socket.IsQuiet(p.endpoints["a"].idle[0].Conn)
@@ -37,7 +37,8 @@
 	}
 }
 
-// The close crosses the request, which may have run. It is sent exactly once.
+// The endpoint closes an idle connection while a request is being sent on it. The request may have run, so it is sent
+// exactly once.
 func TestAttemptReportsResetWhenIdleConnectionCloses(t *testing.T) {
 	b := backendtest.Start(t, func(w io.Writer, _ *http.Request, n int) bool {
 		if n == 1 {
@@ -46,11 +47,11 @@
 		return n == 1
 	})
 	p := newTestPool(4, b.Address)
-	if result := newTestAttempt(t, p, "a", patience).run(); result.Status != balancer.OK {
+	if result := newTestAttempt(t, p, "a", testTimeout).run(); result.Status != balancer.OK {
 		t.Fatalf("got status %v", result.Status)
 	}
-	restIdle(p)
-	if result := newTestAttempt(t, p, "a", patience).run(); result.Status != balancer.Reset {
+	makeIdleReusable(p)
+	if result := newTestAttempt(t, p, "a", testTimeout).run(); result.Status != balancer.Reset {
 		t.Errorf("got status %v", result.Status)
 	}
 	if b.Requests.Load() != 2 || b.Connections.Load() != 1 {
@@ -58,7 +59,7 @@
 	}
 }
 
-// A backend drops idle connections silently, long before the configured time.
+// The backend silently drops idle connections long before the configured idle timeout.
 func TestPoolSkipsOldConnectionsAfterStaleOne(t *testing.T) {
 	var drop atomic.Bool
 	b := backendtest.Start(t, func(w io.Writer, _ *http.Request, _ int) bool {
@@ -69,36 +70,36 @@
 		return true
 	})
 	p := newTestPool(4, b.Address)
-	p.staleResetWindow = patience
+	p.staleResetWindow = testTimeout
 	send := func(want balancer.Status, conns int32) {
 		t.Helper()
-		if result := newTestAttempt(t, p, "a", patience).run(); result.Status != want || b.Connections.Load() != conns {
+		if result := newTestAttempt(t, p, "a", testTimeout).run(); result.Status != want || b.Connections.Load() != conns {
 			t.Fatalf("got %v on connection %d, want %v on %d", result.Status, b.Connections.Load(), want, conns)
 		}
 	}
 	send(balancer.OK, 1)
-	ageIdle(p, 2*time.Second)
+	setIdleTime(p, 2*time.Second)
 	send(balancer.OK, 1) // no connection has been stale yet
-	ageIdle(p, 2*time.Second)
+	setIdleTime(p, 2*time.Second)
 	drop.Store(true)
 	send(balancer.Reset, 1)
 	send(balancer.OK, 2)
-	ageIdle(p, 1500*time.Millisecond)
-	send(balancer.OK, 3) // the old one is not used
-	ageIdle(p, 500*time.Millisecond)
+	setIdleTime(p, 1500*time.Millisecond)
+	send(balancer.OK, 3) // the connection has been idle for too long to be reused
+	setIdleTime(p, 500*time.Millisecond)
 	send(balancer.OK, 3)
-	for range 100 { // the limit grows again
+	for range 100 { // raise the reuse limit again
 		p.Sweep(time.Now())
 	}
-	ageIdle(p, 2*time.Second)
+	setIdleTime(p, 2*time.Second)
 	send(balancer.OK, 3)
 	p.mu.Lock()
 	p.advanceGenerationLocked(p.endpoints["a"]) // closes idle connections
 	p.mu.Unlock()
 	drop.Store(true)
-	send(balancer.Reset, 4) // the reset of a new connection does not lower the limit
+	send(balancer.Reset, 4) // a reset on a new connection does not lower the limit
 	send(balancer.OK, 5)
-	ageIdle(p, 2*time.Second)
+	setIdleTime(p, 2*time.Second)
 	send(balancer.OK, 5)
 }
 
@@ -115,10 +116,10 @@
 	}
 	p.put(conns[0])
 	p.put(conns[1])
-	restIdle(p)
+	makeIdleReusable(p)
 	p.put(conns[2])
 	if c := findTarget(t, p, "a").reuse(); c != conns[1] {
-		t.Error("not the most recently used one of those that have rested")
+		t.Error("reuse did not return the most recently used connection that was idle for ReuseDelay")
 	}
 	p.put(conns[1])
 	p.Sweep(time.Now().Add(p.idleTimeout))
@@ -138,20 +139,20 @@
 	quick := backendtest.Start(t, backendtest.Respond(backendtest.OK, true))
 	hanging := backendtest.Start(t, backendtest.Hang(t))
 	p := newTestPool(1, quick.Address, hanging.Address)
-	if result := newTestAttempt(t, p, "a", patience).run(); result.Status != balancer.OK {
+	if result := newTestAttempt(t, p, "a", testTimeout).run(); result.Status != balancer.OK {
 		t.Fatalf("got status %v", result.Status)
 	}
-	inFlight := newTestAttempt(t, p, "b", patience)
+	inFlight := newTestAttempt(t, p, "b", testTimeout)
 	results := make(chan Result, 1)
 	go func() { results <- inFlight.run() }()
 	backendtest.Receive(t, "close of the idle connection", quick.Closed)
 	backendtest.WaitUntil(t, func() bool { return hanging.Requests.Load() == 1 })
-	if result := newTestAttempt(t, p, "a", patience).run(); result.Status != balancer.NotAttempted {
+	if result := newTestAttempt(t, p, "a", testTimeout).run(); result.Status != balancer.NotAttempted {
 		t.Errorf("at the limit: got %v", result.Status)
 	}
 	inFlight.cancel()
 	backendtest.Receive(t, "result", results)
-	if result := newTestAttempt(t, p, "a", patience).run(); result.Status != balancer.OK {
+	if result := newTestAttempt(t, p, "a", testTimeout).run(); result.Status != balancer.OK {
 		t.Errorf("below the limit: got %v", result.Status)
 	}
 }
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -14,34 +14,38 @@
 )
 
 const (
-	notStartedHeader = "Not-Started" // its value 1 says that the request was rejected before it ran
+	notStartedHeader = "Not-Started" // 1 means that the request was rejected before it ran
 
 	maxResponseHead  = 8 << 10 // bytes
 	maxInformational = 8       // 1xx responses before the final one
 
-	// responseStall is how long a response that has begun may rest. One whose length does not fit never ends.
-	responseStall = 500 * time.Millisecond
+	// responseStallTimeout limits each wait for the next bytes of a response that has begun. Without it, a response
+	// that is shorter than its announced length would never end.
+	responseStallTimeout = 500 * time.Millisecond
 )
 
-// Errors of responses that cannot be trusted.
+// Errors for responses that cannot be trusted.
 var (
 	errNoResponse           = errors.New("no response")
-	errConflictingFraming   = errors.New("the head has conflicting framings")
-	errNestedHead           = errors.New("the head has two status lines")
+	errConflictingFraming   = errors.New("response head has conflicting body framings")
+	errNestedHead           = errors.New("response head contains a second status line")
 	errTooManyInformational = errors.New("too many informational responses")
-	errNoLength             = errors.New("the body has neither a length nor chunks") // an interrupted one looks complete
+
+	// Without a length or chunks a truncated body looks complete.
+	errNoLength = errors.New("response body has neither a length nor chunks")
 )
 
 var statusLine = regexp.MustCompile(`HTTP/1\.[01] [1-5][0-9][0-9]\b`)
 
-// readResponse reads the response. A short one is read completely, so that a broken one never reaches the client; a
-// longer one is forwarded as it arrives. keep reports whether the connection can be used again.
+// readResponse reads the response. A short response is read completely before it is passed on, so that the client never
+// receives a broken one; a longer response is forwarded as it arrives. keep reports whether the connection can be
+// reused.
 func (a *Attempt) readResponse(ctx context.Context, c *conn) (result Result, keep bool, err error) {
 	if _, err := c.reader.Peek(1); err != nil {
 		return Result{}, false, fmt.Errorf("%w: %w", errNoResponse, err)
 	}
-	c.limitReads(responseStall, a.Deadline)
-	// The body is never closed, for that would read all of it: what has not been read ends with the connection.
+	c.limitReads(responseStallTimeout, a.Deadline)
+	// The body is never closed, because Close would read the rest of it. Closing the connection drops unread bytes.
 	response, err := a.readFinalHead(c)
 	if err != nil {
 		return Result{}, false, fmt.Errorf("read response: %w", err)
@@ -53,7 +57,7 @@
 		return Result{Status: balancer.Error}, false, nil
 	}
 	body, complete, err := message.ReadBuffered(response.Body, response.ContentLength, a.Request.Reservation,
-		time.Now().Add(responseStall))
+		time.Now().Add(responseStallTimeout))
 	if err != nil {
 		return Result{}, false, fmt.Errorf("read response body: %w", err)
 	}
@@ -65,7 +69,7 @@
 	return classify(response, body, quiet), complete && !response.Close && quiet, nil
 }
 
-// readFinalHead reads the head of the response and those of the informational responses before it.
+// readFinalHead skips informational (1xx) responses and returns the final response, with its body unread.
 func (a *Attempt) readFinalHead(c *conn) (*http.Response, error) {
 	for range maxInformational + 1 {
 		if err := c.checkHead(); err != nil {
@@ -82,8 +86,8 @@
 	return nil, errTooManyInformational
 }
 
-// checkHead checks the next head and leaves it to be read: what net/http makes of it no longer shows whether it had two
-// framings, of which one is wrong.
+// checkHead checks the next response head without consuming it. The check needs the raw bytes, because a head parsed by
+// net/http no longer shows whether it had two conflicting framings.
 func (c *conn) checkHead() error {
 	for wanted := 1; ; {
 		_, err := c.reader.Peek(wanted)
@@ -93,20 +97,20 @@
 			if message.HasConflictingFraming(head) {
 				return errConflictingFraming
 			}
-			if len(statusLine.FindAllIndex(head, 2)) > 1 { // one head was broken off, and another follows in its place
+			if len(statusLine.FindAllIndex(head, 2)) > 1 { // a truncated head is followed by another response
 				return errNestedHead
 			}
 			return nil
 		}
-		if err != nil { // also bufio.ErrBufferFull for a head that is too long
+		if err != nil { // including bufio.ErrBufferFull if the head is too long
 			return err
 		}
 		wanted = len(received) + 1
 	}
 }
 
-// classify returns the result of a buffered response. quiet reports whether nothing follows the response; otherwise it
-// is no proof that the request was rejected.
+// classify returns the result of a buffered response. quiet reports whether no bytes follow the response; if some do,
+// the response does not prove that the request was rejected.
 func classify(response *http.Response, body []byte, quiet bool) Result {
 	switch code := response.StatusCode; {
 	case code == http.StatusOK:
@@ -121,12 +125,12 @@
 	return Result{Status: balancer.Error} // the request may have run
 }
 
-// forward has a response forwarded as it arrives. The deadline was that of its first bytes; from here on only a stall
-// ends it.
+// forward passes a response to the observer, which forwards it as it arrives. The attempt's deadline applied only until
+// this point; from here on each read is limited only by message.StreamStallTimeout.
 func (a *Attempt) forward(ctx context.Context, c *conn, response *http.Response, first []byte) (result Result, keep bool) {
-	c.limitReads(message.StreamStall, time.Time{})
+	c.limitReads(message.StreamStallTimeout, time.Time{})
 	stream := &message.ResponseStream{
-		First:       first,
+		Prefix:      first,
 		Body:        response.Body,
 		Length:      response.ContentLength,
 		ContentType: response.Header.Get("Content-Type"),
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -53,7 +53,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := backendtest.Start(t, backendtest.Respond(c.text, false))
 			p := newTestPool(4, b.Address)
-			result := newTestAttempt(t, p, "a", patience).run()
+			result := newTestAttempt(t, p, "a", testTimeout).run()
 			if result.Status != c.want || c.want == balancer.OK && string(result.Body) != "ok" {
 				t.Errorf("got %v %q, want %v", result.Status, result.Body, c.want)
 			}
@@ -85,7 +85,7 @@
 	}
 }
 
-// A duplicate of a response must not be taken for the next one.
+// A duplicate of a response must not be read as the response to the next request.
 func TestAttemptIgnoresDuplicateResponse(t *testing.T) {
 	for name, later := range map[string]bool{"in the same write": false, "2 ms later": true} {
 		t.Run(name, func(t *testing.T) {
@@ -103,7 +103,7 @@
 			})
 			p := newTestPool(100, b.Address)
 			for n := range 60 {
-				result := newTestAttempt(t, p, "a", patience).run()
+				result := newTestAttempt(t, p, "a", testTimeout).run()
 				if result.Status != balancer.OK || string(result.Body) != fmt.Sprintf("%04d", n+1) {
 					t.Fatalf("request %d: got %v %q", n+1, result.Status, result.Body)
 				}
@@ -112,7 +112,7 @@
 	}
 }
 
-// A response that is followed by another one is no proof that the request was rejected.
+// A Not-Started response that is followed by further bytes does not prove that the request was rejected.
 func TestAttemptDistrustsNotStartedFollowedByBytes(t *testing.T) {
 	for name, text := range map[string]string{
 		"another response":        "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n" + backendtest.OK,
@@ -122,7 +122,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newTestPool(4, backendtest.Start(t, backendtest.Respond(text, false)).Address)
-			if result := newTestAttempt(t, p, "a", patience).run(); result.Status != balancer.Reset && result.Status != balancer.Error {
+			if result := newTestAttempt(t, p, "a", testTimeout).run(); result.Status != balancer.Reset && result.Status != balancer.Error {
 				t.Errorf("got status %v", result.Status)
 			}
 		})
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -13,14 +13,14 @@
 	"baylock/internal/message"
 )
 
-// earlyResponseWait is how long a failed upload waits for the response that may explain the failure.
+// earlyResponseWait is how long a failed upload waits for a response that may explain the failure.
 const earlyResponseWait = 100 * time.Millisecond
 
-// errNotStarted ends the encoding of a request of which nothing may be sent.
-var errNotStarted = errors.New("the attempt may no longer start")
+// errNotStarted makes the encoding of a request stop before anything is sent.
+var errNotStarted = errors.New("attempt can no longer start")
 
-// upload writes a streamed request while its client sends it. ok reports whether all of it was written, so that its
-// response can be read. Before that an endpoint can only reject it.
+// upload writes a streamed request while the client is still sending it. ok reports whether the request was written
+// completely, so that the response can be read. Until then the endpoint can only reject the request.
 func (a *Attempt) upload(ctx context.Context, c *conn) (result Result, ok bool) {
 	a.Request.Stream.Resume()
 	w := &uploadWriter{ctx: ctx, attempt: a, conn: c, responded: make(chan bool, 1),
@@ -37,54 +37,55 @@
 	return a.finishUpload(ctx, w, now)
 }
 
-// finishUpload waits for the response to a request that was written at a time.
+// finishUpload waits for the response to a request that was completely written at the time now.
 func (a *Attempt) finishUpload(ctx context.Context, w *uploadWriter, now time.Time) (result Result, ok bool) {
 	a.Deadline = a.Observer.UploadFinished(now)
 	_ = w.conn.SetDeadline(a.Deadline)
-	if ctx.Err() != nil { // the deadline may have replaced that of abort
+	if ctx.Err() != nil { // SetDeadline may have replaced the deadline that abort set
 		w.conn.abort()
 	}
 	<-w.responded
-	if w.stopped.Load() { // the request is complete, but what was received was sent before and does not answer it
+	if w.stopped.Load() { // the endpoint sent these bytes before the request was complete, so they don't answer it
 		return Result{Status: balancer.Reset}, false
 	}
 	return Result{}, true
 }
 
-// failUpload returns the result of an upload that ended early, at a time.
+// failUpload returns the result of an upload that failed at the time now.
 func (a *Attempt) failUpload(ctx context.Context, w *uploadWriter, now time.Time) Result {
 	_ = w.conn.SetReadDeadline(now.Add(earlyResponseWait))
-	if ctx.Err() != nil { // the deadline may have replaced that of abort
+	if ctx.Err() != nil { // SetReadDeadline may have replaced the deadline that abort set
 		w.conn.abort()
 	}
 	responded := <-w.responded
-	if !w.short && a.Request.Stream.ReceivedAll() { // the last byte may have been written
+	if !w.shortWrite && a.Request.Stream.ReceivedAll() { // the last byte may have been written
 		return Result{Status: balancer.Reset}
 	}
 	if !responded || ctx.Err() != nil {
 		return Result{Status: balancer.ConnectFailed}
 	}
 	result, _, err := a.readResponse(ctx, w.conn)
-	if err != nil || result.Status == balancer.OK { // no endpoint can have served an incomplete request
+	if err != nil || result.Status == balancer.OK { // an endpoint cannot have served an incomplete request
 		return Result{Status: balancer.ConnectFailed}
 	}
 	return result
 }
 
-// uploadWriter writes a streamed request to an endpoint while that takes it in time and sends nothing.
+// uploadWriter writes a streamed request to an endpoint. It fails once a write times out or the endpoint sends
+// something.
 type uploadWriter struct {
 	ctx        context.Context
 	attempt    *Attempt
 	conn       *conn
-	notStarted Result      // of the attempt if nothing was written
-	responded  chan bool   // receives once after something was written: whether the endpoint has sent something
-	stopped    atomic.Bool // the endpoint has sent something, or closed, before all was written
-	short      bool        // a write did not take all
+	notStarted Result      // result of the attempt if nothing was written
+	responded  chan bool   // gets one value once writing has begun: whether the endpoint has sent something
+	stopped    atomic.Bool // the endpoint sent something or closed before the request was complete
+	shortWrite bool        // a write was incomplete
 }
 
 // Write implements io.Writer. The first call starts the attempt.
 func (w *uploadWriter) Write(b []byte) (n int, err error) {
-	_ = w.conn.SetWriteDeadline(w.attempt.sendDeadline(time.Now().Add(message.StreamStall)))
+	_ = w.conn.SetWriteDeadline(w.attempt.sendDeadline(time.Now().Add(message.StreamStallTimeout)))
 	if !w.conn.written {
 		var ok bool
 		if w.notStarted, ok = w.attempt.start(w.ctx, w.conn); !ok {
@@ -100,12 +101,13 @@
 	} else {
 		n, err = w.conn.Write(b)
 	}
-	w.short = w.short || n < len(b)
+	w.shortWrite = w.shortWrite || n < len(b)
 	return n, err
 }
 
-// awaitResponse waits until the endpoint sends something or closes. If either comes early the upload stops. The upload
-// ends no earlier than it receives from responded.
+// awaitResponse waits until the endpoint sends something or closes the connection. If that happens before the request
+// is complete, it stops the upload. The upload receives from responded before it ends, so that this goroutine does not
+// outlive it.
 func (w *uploadWriter) awaitResponse() {
 	_, err := w.conn.reader.Peek(1)
 	w.attempt.earlyResponse.Store(err == nil)
--- a/internal/upstream/upload_test.go
+++ b/internal/upstream/upload_test.go
@@ -17,21 +17,21 @@
 	"baylock/internal/socket"
 )
 
-// newRequestStream returns the stream of a body that its client has already sent.
+// newRequestStream returns a stream for a body that the client has already sent.
 func newRequestStream(t *testing.T, body io.Reader, length int64) *message.RequestStream {
 	t.Helper()
 	return message.NewRequestStream(body, length, http.NewResponseController(httptest.NewRecorder()),
-		time.Now().Add(patience))
+		time.Now().Add(testTimeout))
 }
 
-// strayResponses answer no request, but say that one was rejected.
+// strayResponses are responses that belong to no request but claim that a request was rejected.
 var strayResponses = map[string]string{
 	"503":             "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n",
 	"504":             "HTTP/1.1 504 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n",
 	"incomplete head": "HTTP/1.1 503 No\r\nNot-Started: 1\r\nX-Rest: ",
 }
 
-// A retry is cut off before its last byte, so that it cannot run.
+// The attempt stops writing a retry before its last byte, so that the endpoint cannot run it.
 func TestAttemptStopsWritingRetryAtDedupDeadline(t *testing.T) {
 	for name, streamed := range map[string]bool{"buffered": false, "streamed": true} {
 		t.Run(name, func(t *testing.T) {
@@ -48,14 +48,14 @@
 					return
 				}
 				defer c.Close()
-				time.Sleep(time.Until((<-started).DedupDeadline.Add(50 * time.Millisecond))) // reads nothing before
+				time.Sleep(time.Until((<-started).DedupDeadline.Add(50 * time.Millisecond))) // reads nothing until then
 				got, _ := io.ReadAll(c)
 				complete <- len(got) > 8<<20 // head included
 			}()
 			p := newTestPool(4, l.Addr().String())
-			a := newTestAttempt(t, p, "a", patience)
+			a := newTestAttempt(t, p, "a", testTimeout)
 			a.Request.Method = http.MethodPost
-			a.Observer = uploadObserver(func(time.Time) time.Time { return time.Now().Add(patience) })
+			a.Observer = uploadObserver(func(time.Time) time.Time { return time.Now().Add(testTimeout) })
 			if body := bytes.Repeat([]byte("0123456789abcde\n"), 1<<19); streamed {
 				a.Request.Stream = newRequestStream(t, bytes.NewReader(body), int64(len(body)))
 			} else {
@@ -73,8 +73,8 @@
 	}
 }
 
-// A stray response arrives after the connection was taken for the next request, and before that is written. Taken for
-// the response, it would say that the request was rejected, though it runs.
+// A stray response arrives after an attempt has taken the connection and before it writes its request. If it were read
+// as the response, the request would be reported as rejected although the endpoint runs it.
 func TestAttemptSkipsConnectionWithStrayResponse(t *testing.T) {
 	for name, stray := range strayResponses {
 		for kind, streamed := range map[string]bool{"buffered": false, "streamed": true} {
@@ -92,18 +92,18 @@
 					ownConns <- c
 					return c, err
 				}
-				if result := newTestAttempt(t, p, "a", patience).run(); result.Status != balancer.OK {
+				if result := newTestAttempt(t, p, "a", testTimeout).run(); result.Status != balancer.OK {
 					t.Fatalf("got status %v", result.Status)
 				}
-				restIdle(p)
-				a := newTestAttempt(t, p, "a", patience)
+				makeIdleReusable(p)
+				a := newTestAttempt(t, p, "a", testTimeout)
 				checks := 0
 				if streamed {
 					a.Request.Method = http.MethodPost
 					a.Request.Stream = newRequestStream(t, strings.NewReader(strings.Repeat("x", 100_000)), 100_000)
 					a.Observer = uploadObserver(func(time.Time) time.Time { return a.Deadline })
 				}
-				a.Request.ClientGone = func() bool { // called before a connection is taken, and right before the first byte
+				a.Request.ClientGone = func() bool { // called before taking a connection and before the first byte
 					if checks++; checks == 2 {
 						_, _ = io.WriteString(<-backendConns, stray)
 						c := <-ownConns
@@ -119,8 +119,8 @@
 	}
 }
 
-// The backend responds before it has received the complete request. Nothing more of it is written then, so that it cannot
-// run, though its client has sent all of it.
+// The backend responds before it has received the complete request. The attempt then stops writing, so that the request
+// cannot run, although the client has sent all of it.
 func TestUploadStopsAtEarlyResponse(t *testing.T) {
 	for name, response := range strayResponses {
 		t.Run(name, func(t *testing.T) {
@@ -133,11 +133,11 @@
 				return false
 			})
 			p := newTestPool(4, b.Address)
-			a := newTestAttempt(t, p, "a", patience)
+			a := newTestAttempt(t, p, "a", testTimeout)
 			a.Request.Method = http.MethodPost
 			a.Request.Stream = newRequestStream(t, strings.NewReader(strings.Repeat("x", 20_000)), 20_000)
-			a.Observer = uploadObserver(func(time.Time) time.Time { return time.Now().Add(patience) })
-			a.Request.Stream.SetEndHook(func() { // all has been read, and the last piece is not written yet
+			a.Observer = uploadObserver(func(time.Time) time.Time { return time.Now().Add(testTimeout) })
+			a.Request.Stream.SetEndHook(func() { // the body is read completely, but its last piece is not yet written
 				close(respond)
 				backendtest.WaitUntil(t, a.earlyResponse.Load)
 			})
@@ -152,10 +152,11 @@
 	}
 }
 
-// failingEnd reads a body of a length in bytes, and fails at its end, where net/http looks for a surplus.
-type failingEnd struct{ remaining int }
+// errorAtEndReader returns the given number of bytes and then fails, instead of returning io.EOF, when net/http checks
+// for bytes beyond the announced length.
+type errorAtEndReader struct{ remaining int }
 
-func (r *failingEnd) Read(b []byte) (int, error) {
+func (r *errorAtEndReader) Read(b []byte) (int, error) {
 	if r.remaining == 0 {
 		return 0, io.ErrUnexpectedEOF
 	}
@@ -164,7 +165,7 @@
 	return n, nil
 }
 
-// The last byte may have been written, so that the request may run.
+// The last byte may have been written before the body fails, so the endpoint may run the request.
 func TestUploadReportsResetWhenBodyFailsAfterLastByte(t *testing.T) {
 	complete := make(chan bool, 1)
 	b := backendtest.StartRaw(t, func(_ io.Writer, r *http.Request) bool {
@@ -173,10 +174,10 @@
 		return false
 	})
 	p := newTestPool(4, b.Address)
-	a := newTestAttempt(t, p, "a", patience)
+	a := newTestAttempt(t, p, "a", testTimeout)
 	const length = 25 * 4096 // fills net/http's buffer, so that the last byte is written before the error
 	a.Request.Method = http.MethodPost
-	a.Request.Stream = newRequestStream(t, &failingEnd{length}, length)
+	a.Request.Stream = newRequestStream(t, &errorAtEndReader{length}, length)
 	if result := a.run(); result.Status != balancer.Reset {
 		t.Errorf("got status %v", result.Status)
 	}
