--- a/internal/message/buffer.go
+++ b/internal/message/buffer.go
@@ -28,7 +28,7 @@
 	}
 	for {
 		if len(body) == cap(body) {
-			size := nextSize(cap(body), length)
+			size := nextBufferSize(cap(body), length)
 			if size > MaxBuffered || !reservation.Grow(int64(size-cap(body))) {
 				return body, false, nil
 			}
@@ -48,8 +48,8 @@
 	}
 }
 
-// nextSize returns the size to which a full buffer of the given size grows.
-func nextSize(size int, length int64) int {
+// nextBufferSize returns the size to which a full buffer of the given size grows.
+func nextBufferSize(size int, length int64) int {
 	next := max(initialBufferSize, 2*size)
 	if length >= 0 {
 		next = min(next, int(length))
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -127,10 +127,10 @@
 
 // forward passes a response to the observer, which forwards it as it arrives. The attempt's deadline applied only until
 // this point; from here on each read is limited only by message.StreamStallTimeout.
-func (a *Attempt) forward(ctx context.Context, c *conn, response *http.Response, first []byte) (result Result, keep bool) {
+func (a *Attempt) forward(ctx context.Context, c *conn, response *http.Response, prefix []byte) (result Result, keep bool) {
 	c.limitReads(message.StreamStallTimeout, time.Time{})
 	stream := &message.ResponseStream{
-		Prefix:      first,
+		Prefix:      prefix,
 		Body:        response.Body,
 		Length:      response.ContentLength,
 		ContentType: response.Header.Get("Content-Type"),
