--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -41,13 +41,13 @@
 	return nil
 }
 
-// bodyStart returns the reference time for the pace of a body, whose first bytes are due message.FirstBytesPatience later:
+// bodyStart returns the reference time for the pace of a body, whose first bytes are due message.FirstBytesTimeout later:
 // FirstRequestTimeout after the accept for a connection's first request, headTimeout after the arrival for others.
 func bodyStart(connection *clientconn.Conn, arrivedAt time.Time) time.Time {
 	if connection == nil || connection.ServedRequest() {
-		return arrivedAt.Add(headTimeout - message.FirstBytesPatience)
+		return arrivedAt.Add(headTimeout - message.FirstBytesTimeout)
 	}
-	start := connection.AcceptedAt().Add(FirstRequestTimeout - message.FirstBytesPatience)
+	start := connection.AcceptedAt().Add(FirstRequestTimeout - message.FirstBytesTimeout)
 	if start.Before(arrivedAt) {
 		return arrivedAt
 	}
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -130,7 +130,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(backendtest.Patience))
+	_ = c.SetDeadline(time.Now().Add(backendtest.Timeout))
 	return newClient(c)
 }
 
@@ -191,7 +191,7 @@
 	waitUntilIdle(t, p)
 	p.loop.pool.ApplyEndpoints(true, nil) // closes idle connections; a backend that sees the close has read all that was sent
 	backendtest.WaitUntil(t, func() bool { return len(b.Closed) == int(b.Connections.Load()) })
-	if got := b.Begun.Load(); got != n {
+	if got := b.RequestsStarted.Load(); got != n {
 		t.Errorf("%d requests started to arrive", got)
 	}
 }
