--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -1,13 +1,13 @@
 package balancer
 
-// Idle connections are reserved where clients can open no more, since a client that finds none idle takes the
-// proxy for dead, while a rejected one can go on at once.
+// Where clients cannot open more connections, some connections are kept idle. A client that finds none idle
+// assumes that the proxy is dead, while a client whose request is rejected can continue immediately.
 const (
-	idleConnectionDivisor = 8 // one in so many connections
-	minIdleConnections    = 3 // at least, but no more than half of them
+	idleConnectionDivisor = 8 // one in eight connections is kept idle
+	minIdleConnections    = 3 // lower bound, itself at most half of the connections
 )
 
-// admits checks the rules in their order: idle connections, the tier, the tenant, the class.
+// admits checks the admission rules in this order: idle connections, tier limit, tenant quota, class limit.
 func (b *Balancer) admits(now Microseconds, req *request) bool {
 	if !req.leavesIdleConnections() || !b.tierLimit.admits(b.random.Float64()) {
 		return false
@@ -18,7 +18,8 @@
 	return req.classState.limit.admits(b.random.Float64())
 }
 
-// leavesIdleConnections reports whether clients have idle connections enough beside the request's.
+// leavesIdleConnections reports whether clients have enough idle connections besides the one that carries
+// this request.
 func (req *request) leavesIdleConnections() bool {
 	reserved := min(minIdleConnections, req.ClientConnections/2)
 	return req.IdleConnections >= max(req.ClientConnections/idleConnectionDivisor, reserved)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -2,15 +2,16 @@
 
 import "math/rand/v2"
 
-// Balancer decides for one proxy. It is not safe for concurrent use; see the package comment.
+// Balancer makes the load-balancing decisions of one proxy. It is not safe for concurrent use; see the
+// package comment.
 type Balancer struct {
-	settings     *Settings // in force; never modified, but replaced by Reconfigure
+	settings     *Settings // never modified in place: Reconfigure replaces it
 	random       *rand.Rand
 	endpoints    endpointList
 	subscription subscription
 	requests     map[string]*request // by ID
 	keyQueues    keyQueues
-	tierLimit    concurrencyLimit // of calls to all endpoints
+	tierLimit    concurrencyLimit // limits the calls to all endpoints together
 	quotas       tenantQuotas
 	classes      []*classState // in the order of the settings
 	retries      retryBudget
@@ -21,8 +22,8 @@
 	reporter     reporter
 }
 
-// New returns a Balancer for the settings. All its random draws come from the seed. It returns a *FieldError
-// for settings that are out of range.
+// New returns a Balancer for the settings. The seed initializes its random number generator. New returns a
+// *FieldError if a setting is out of range.
 func New(s Settings, seed uint64) (*Balancer, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -42,8 +43,9 @@
 	return b, nil
 }
 
-// UpdateEndpoints applies an update of the endpoint list. An endpoint that is draining or removed gets
-// nothing from now on, and one whose StartedAt has changed is learned anew.
+// UpdateEndpoints applies an update of the endpoint list. An endpoint that is draining or removed gets no
+// further attempts. When the StartedAt of an endpoint changes, everything that was learned about the endpoint
+// is discarded.
 func (b *Balancer) UpdateEndpoints(_ Microseconds, host Host, kind UpdateKind, entries []Endpoint) {
 	if kind == FailedUpdate {
 		b.subscription.fail(host, b.random)
@@ -56,9 +58,10 @@
 	b.subscription.resetBackoff()
 }
 
-// HandleRequest handles the arrival of a request: it sends or rejects it at once. Only a request that must
-// wait for its key's order stays unsent, and no longer than it can still be answered in time. A request of an
-// unknown class fails; one whose ID is known already is ignored.
+// HandleRequest handles the arrival of a request and sends or rejects it immediately. The exception is a
+// request that must wait for earlier requests with the same key: it is queued, but only as long as it can
+// still be answered in time. A request of an unknown class fails, and a request whose ID is already known is
+// ignored.
 func (b *Balancer) HandleRequest(now Microseconds, host Host, r Request) {
 	if b.requests[r.ID] != nil {
 		return
@@ -84,7 +87,8 @@
 	}
 }
 
-// start checks the rules and sends a request's first attempt, or rejects it.
+// start sends the first attempt of a request. It rejects the request if an admission rule rejects it, if too
+// little time remains, or if no endpoint is available.
 func (b *Balancer) start(now Microseconds, host Host, req *request) {
 	if !b.admits(now, req) || !req.canFinishInTime(now, b.settings) || !b.send(now, host, req) {
 		b.reject(now, host, req)
@@ -95,13 +99,13 @@
 	}
 }
 
-// send draws an endpoint and sends an attempt there; it returns false if there is none to send to.
+// send picks an endpoint and sends an attempt to it. It returns false if no endpoint is available.
 func (b *Balancer) send(now Microseconds, host Host, req *request) bool {
 	ep := b.pickEndpoint(now, req)
 	if ep == nil {
 		return false
 	}
-	dedupDeadline := req.dedupDeadline() // of the earlier attempts
+	dedupDeadline := req.dedupDeadline() // depends on the earlier attempts only
 	a := &attempt{
 		endpoint:       ep,
 		zone:           ep.Zone,
@@ -111,7 +115,7 @@
 		decidedAt:      now,
 		sentAt:         now,
 		outstanding:    true,
-		mayRun:         true,
+		possiblyRan:    true,
 		reintroduction: ep.reintroductionPending,
 	}
 	ep.reintroductionPending = false
@@ -126,7 +130,8 @@
 	return true
 }
 
-// countInFlight counts an attempt as a call in flight: its endpoint has all of it and may begin.
+// countInFlight counts an attempt as a call in flight, which begins when the endpoint can have the complete
+// request and start processing it.
 func (b *Balancer) countInFlight(req *request, a *attempt) {
 	if b.settings.Tier == 0 {
 		req.classState.notYetSlow = append(req.classState.notYetSlow, a)
@@ -136,8 +141,9 @@
 	a.inFlight = true
 }
 
-// RequestUploaded handles the end of a streamed request's upload; deadline is when its client abandons it.
-// Latency counts from here: the time that the client took to write the body shows nothing of endpoints.
+// RequestUploaded handles the end of a streamed request's upload; deadline is the time at which the client
+// gives up. Latency is measured from here, because the time that the client takes to write the body says
+// nothing about endpoints.
 func (b *Balancer) RequestUploaded(now Microseconds, id string, deadline Microseconds) {
 	req := b.requests[id]
 	if req == nil || !req.Streaming || len(req.attempts) == 0 {
@@ -150,23 +156,24 @@
 	}
 }
 
-// ResponseStarted handles the start of a streamed response. The client gets that attempt's response, so the
-// request is not retried.
+// ResponseStarted handles the start of a streamed response. The client receives the response of this attempt,
+// so the request is not retried.
 func (b *Balancer) ResponseStarted(_ Microseconds, id string) {
 	if req := b.requests[id]; req != nil {
 		req.done = true
 	}
 }
 
-// CancelRequest handles a client that no longer waits for its request.
+// CancelRequest handles the cancellation of a request by its client.
 func (b *Balancer) CancelRequest(now Microseconds, host Host, id string) {
 	if req := b.requests[id]; req != nil {
 		b.finish(now, host, req)
 	}
 }
 
-// HandleOutcome handles the end of an attempt. Where the client still waits, the request is retried, rejected
-// or failed at once. Outcomes of attempts that are not outstanding are ignored.
+// HandleOutcome handles the end of an attempt. If the client is still waiting and no other attempt is
+// outstanding, the request is retried, rejected or failed immediately. Outcomes of attempts that are not
+// outstanding are ignored.
 func (b *Balancer) HandleOutcome(now Microseconds, host Host, o Outcome) {
 	req := b.requests[o.ID]
 	if req == nil {
@@ -178,10 +185,10 @@
 	}
 	b.countSlowAttempts(now)
 	b.endAttempt(req, a, o.Status)
-	b.learn(now, req, a, o)
+	b.recordOutcome(now, req, a, o)
 	b.report(now, host)
 	if req.queue != nil && o.Status.mayStillRun() {
-		b.coolDown(now, host, req, a)
+		b.startCooldown(now, host, req, a)
 	}
 	switch {
 	case o.RequestDone || req.done:
@@ -196,11 +203,11 @@
 	}
 }
 
-// endAttempt takes an attempt out of what is outstanding and in flight.
+// endAttempt marks an attempt as ended and removes it from the outstanding and in-flight counts.
 func (b *Balancer) endAttempt(req *request, a *attempt, status Status) {
 	neverSent := status == ConnectFailed || status == NotAttempted
 	a.outstanding = false
-	a.mayRun = !neverSent && (status != Rejected || a.settings.RejectedMayRun)
+	a.possiblyRan = !neverSent && (status != Rejected || a.settings.RejectedMayRun)
 	if a.reintroduction && neverSent {
 		a.endpoint.reintroductionPending = true
 	}
@@ -212,15 +219,16 @@
 	}
 }
 
-// reject ends a request unserved. Retry-After is spread, so that clients do not return together.
+// reject rejects a request. Retry-After is random, between half of its maximum and the maximum, so that
+// clients do not all retry at the same time.
 func (b *Balancer) reject(now Microseconds, host Host, req *request) {
 	longest := b.settings.maxRetryAfter(req.class)
 	host.Reject(req.ID, longest/2+Microseconds(b.random.Int64N(int64(longest/2+1))))
 	b.finish(now, host, req)
 }
 
-// finish marks a request as done. Once all its attempts have ended it forgets the request and starts the next
-// one with its key.
+// finish marks a request as done. Once all attempts of the request have ended, finish removes it and starts
+// the next request with the same key.
 func (b *Balancer) finish(now Microseconds, host Host, req *request) {
 	req.done = true
 	if req.outstanding > 0 {
@@ -233,7 +241,7 @@
 	}
 }
 
-// TimerFired handles a timer that was set by Host.SetTimer. Timers that are no longer needed are ignored.
+// TimerFired handles a timer that was set with Host.SetTimer. A timer that is no longer needed is ignored.
 func (b *Balancer) TimerFired(now Microseconds, host Host, token string) {
 	switch t := parseTimerToken(token); t.kind {
 	case subscribeTimer:
--- a/balancer/class.go
+++ b/balancer/class.go
@@ -1,21 +1,22 @@
 package balancer
 
-// noSlot is the slot of a class that the settings no longer have.
+// noSlot is the slot of a class that is no longer in the settings.
 const noSlot = -1
 
-// classState is what was learned of a class. It outlives a change of the settings that keeps the class.
+// classState holds the measurements and the concurrency limit of a class. It is kept across changes of the
+// settings for as long as they contain the class.
 type classState struct {
 	slot               int // index into endpoint.perClass, or noSlot
 	limit              concurrencyLimit
-	preemptionEvidence evidenceRound // of calls of classes with clearly greater priority
+	preemptionEvidence evidenceRound // calls of classes with clearly higher priority
 	latency            latencyEstimate
-	errorRate          float64    // running fraction of failed calls, over all endpoints
-	notYetSlow         []*attempt // at the front tier: in order of sending, those not yet counted as slow
+	errorRate          float64    // moving average of the fraction of failed calls, over all endpoints
+	notYetSlow         []*attempt // front tier only: attempts not yet counted as slow, in sending order
 }
 
-// newClassState returns the state of a class that nothing is known of.
+// newClassState returns the state of a class without measurements.
 func newClassState(c *Class) *classState {
 	state := &classState{slot: noSlot, limit: concurrencyLimit{max: initialLimit}}
-	state.latency.guess(c.LatencyObjective)
+	state.latency.initFromObjective(c.LatencyObjective)
 	return state
 }
--- a/balancer/driver_test.go
+++ b/balancer/driver_test.go
@@ -35,14 +35,14 @@
 	d.completeUpdate(CachedUpdate)
 }
 
-// drawEndpoint returns the entry of an endpoint that may be draining or have started lately.
-func (d *driver) drawEndpoint(i int) Endpoint {
+// randomEndpoint returns the entry of an endpoint that may be draining or have started lately.
+func (d *driver) randomEndpoint(i int) Endpoint {
 	e := Endpoint{ID: fmt.Sprintf("s%d", i), Zone: i % 2, Cell: i / 4, State: Ready, Capacity: 1}
 	switch d.random.IntN(6) {
 	case 0:
 		e.State = Draining
 	case 1:
-		e.StartedAt = d.now - drawTime(d.random, d.checker.settings.SlowStartDuration)
+		e.StartedAt = d.now - randomDuration(d.random, d.checker.settings.SlowStartDuration)
 	}
 	return e
 }
@@ -55,7 +55,7 @@
 	var list []Endpoint
 	for i := range driverEndpoints {
 		if d.random.IntN(5) > 0 {
-			list = append(list, d.drawEndpoint(i))
+			list = append(list, d.randomEndpoint(i))
 		}
 	}
 	d.checker.recordUpdate(kind, list)
@@ -64,7 +64,7 @@
 
 // incrementalUpdate changes or removes one endpoint.
 func (d *driver) incrementalUpdate() {
-	e := d.drawEndpoint(d.random.IntN(driverEndpoints))
+	e := d.randomEndpoint(d.random.IntN(driverEndpoints))
 	if _, known := d.checker.listed[e.ID]; known && d.random.IntN(4) == 0 {
 		e.State = Removed
 	}
@@ -80,7 +80,7 @@
 		ID:       fmt.Sprintf("r%d", d.requestCount),
 		Class:    d.random.IntN(len(settings.Classes)),
 		Tenant:   d.random.IntN(len(settings.Tenants) + 1),
-		Deadline: d.now + 1000 + drawTime(d.random, 1_500_000),
+		Deadline: d.now + 1000 + randomDuration(d.random, 1_500_000),
 	}
 	if n := d.random.IntN(8); n > 0 {
 		r.Key = fmt.Sprint("key", n)
@@ -105,7 +105,7 @@
 			return t.due <= req.request.Deadline && strings.Contains(t.token, id)
 		})
 	if !req.closed && len(req.pending) == 0 && !waits {
-		d.checker.violation("rule 1: %s is neither closed, outstanding nor waiting", id)
+		d.checker.addViolation("rule 1: %s is neither closed, outstanding nor waiting", id)
 	}
 }
 
@@ -183,7 +183,7 @@
 	if d.beforeStep != nil {
 		d.beforeStep(d)
 	}
-	d.now = min(d.now+drawTime(d.random, 20_000), d.nextDue())
+	d.now = min(d.now+randomDuration(d.random, 20_000), d.nextDue())
 	d.checker.now = d.now
 	d.fireDue()
 	switch x := d.random.IntN(1000); {
--- a/balancer/evidence.go
+++ b/balancer/evidence.go
@@ -3,35 +3,35 @@
 import "cmp"
 
 const (
-	minRoundSamples       = 12   // samples that complete a round
-	roundObjectives       = 2    // latency objectives after which a round of fewer samples is complete
-	decreaseFactor        = 0.6  // an overloaded round cuts by this times its bad fraction
-	minFastAnswerFraction = 0.25 // of a round's answers: with so many fast ones no queue stands
-	minFastFraction       = 0.1  // the same of all its samples
+	minRoundSamples         = 12   // number of samples that completes a round
+	minDurationObjectives   = 2    // latency objectives after which fewer samples complete a round
+	decreaseFactor          = 0.6  // an overload reduces a limit by this times the fraction of bad samples
+	minFastResponseFraction = 0.25 // of a round's responses: if this many are fast, calls do not queue
+	minFastFraction         = 0.1  // of all samples of a round, as a second lower bound
 )
 
-// loadSignal is what a round of evidence shows.
+// loadSignal is the result of a round of evidence.
 type loadSignal int
 
 // The load signals.
 const (
-	signalPending    loadSignal = iota // too little evidence yet
-	signalHealthy                      // most calls end well and in time
-	signalFaulty                       // many are late or fail, beside answers as fast as without load
-	signalOverloaded                   // many are late or fail, and hardly any is fast: they queue
+	signalPending    loadSignal = iota // too few samples so far
+	signalHealthy                      // most calls succeed in time
+	signalFaulty                       // many calls are late or fail, but others are as fast as without load
+	signalOverloaded                   // many calls are late or fail, and hardly any is fast: they queue
 )
 
-// responseSpeed is how fast a call was answered.
+// responseSpeed classifies how fast a response to a call was.
 type responseSpeed int
 
 // The response speeds.
 const (
 	noResponse   responseSpeed = iota // the call failed
-	slowResponse                      // slower than the usual call without load
-	fastResponse
+	slowResponse                      // slower than the usual latency without load
+	fastResponse                      // as fast as without load
 )
 
-// speedOf classifies a call.
+// speedOf returns the responseSpeed of a call.
 func speedOf(failed, fast bool) responseSpeed {
 	switch {
 	case failed:
@@ -43,7 +43,7 @@
 	}
 }
 
-// indicator is one observation of a running fraction: 1 if true, else 0.
+// indicator converts an observation to a number that can be averaged: 1 for true, 0 for false.
 func indicator(observed bool) float64 {
 	if observed {
 		return 1
@@ -51,54 +51,56 @@
 	return 0
 }
 
-// sample is what one call shows.
+// sample is the observation of one call.
 type sample struct {
 	sentAt Microseconds
-	bad    bool // late, slow or failed, as the round's purpose has it
+	bad    bool // late, slow or failed, depending on what the round is for
 	speed  responseSpeed
 }
 
-// evidenceRound gathers samples of calls sent since its last signal, and gives a signal once they are
-// enough. Replicas with little traffic thus learn from evidence, and one overload causes one cut.
+// evidenceRound collects samples of calls that were sent since its last signal, and returns a signal once
+// there are enough. The signal depends on the number of samples rather than on time alone, so that replicas
+// with little traffic do not react to too few calls. Ignoring calls sent before the last signal makes sure
+// that one overload causes one reduction only.
 type evidenceRound struct {
-	start       Microseconds // when it began: calls sent earlier are left out
+	start       Microseconds // start of the round: calls sent earlier are ignored
 	samples     int
 	bad         int
-	answered    int // samples with an answer, and calls that are outstanding
-	fast        int // answers that took no longer than the usual one without load
-	allowedBad  float64
-	minDuration Microseconds // after this long fewer than minRoundSamples complete the round
+	responses   int          // samples with a response, and calls that are still outstanding
+	fast        int          // responses that took no longer than usual without load
+	allowedBad  float64      // fraction of bad samples that a good round may have
+	minDuration Microseconds // time after which fewer than minRoundSamples complete the round
 }
 
-// add takes a sample. Once the round is complete it returns its signal, and the factor by which
-// an overload cuts; until then signalPending.
+// add adds a sample. If the sample completes the round, add returns the round's signal and the factor by
+// which an overload reduces a limit, and starts the next round. Otherwise it returns signalPending.
 func (r *evidenceRound) add(now Microseconds, s sample) (loadSignal, float64) {
 	if r.start = cmp.Or(r.start, s.sentAt); s.sentAt < r.start {
 		return signalPending, 1
 	}
 	r.samples++
 	r.bad += int(indicator(s.bad))
-	r.answered += int(indicator(s.speed != noResponse))
+	r.responses += int(indicator(s.speed != noResponse))
 	r.fast += int(indicator(s.speed == fastResponse))
 	if !r.complete(now) {
 		return signalPending, 1
 	}
 	badFraction := float64(r.bad) / float64(max(r.samples, minRoundSamples/2))
 	signal := r.signal(badFraction)
-	r.start, r.samples, r.bad, r.answered, r.fast = now, 0, 0, 0, 0
+	r.start, r.samples, r.bad, r.responses, r.fast = now, 0, 0, 0, 0
 	return signal, 1 - decreaseFactor*badFraction
 }
 
-// complete reports whether the samples are enough. A round that can only turn out bad is complete early, and
-// one of few samples completes by time only when it is good.
+// complete reports whether the round has enough samples. A round completes early if it can only turn out bad.
+// A round with few samples completes after minDuration, but only if it is good.
 func (r *evidenceRound) complete(now Microseconds) bool {
-	tooShort := now-r.start < r.minDuration || float64(r.bad) > r.allowedBad*float64(r.samples)
-	return float64(r.bad) > r.allowedBad*minRoundSamples || r.samples >= minRoundSamples || !tooShort
+	inconclusive := now-r.start < r.minDuration || float64(r.bad) > r.allowedBad*float64(r.samples)
+	return float64(r.bad) > r.allowedBad*minRoundSamples || r.samples >= minRoundSamples || !inconclusive
 }
 
-// signal returns what a complete round shows.
+// signal returns the signal of a complete round.
 func (r *evidenceRound) signal(badFraction float64) loadSignal {
-	minFast := max(minFastAnswerFraction*float64(r.answered), minFastFraction*float64(r.samples))
+	minFast := max(minFastResponseFraction*float64(r.responses), minFastFraction*float64(r.samples))
 	switch {
 	case badFraction <= r.allowedBad:
 		return signalHealthy
@@ -109,7 +111,8 @@
 	}
 }
 
-// configure sets what makes a round bad, and after what time few samples complete it.
+// configure sets the fraction of bad samples that a good round may have, and the time after which few samples
+// complete a round.
 func (r *evidenceRound) configure(allowedBad float64, minDuration Microseconds) {
 	r.allowedBad, r.minDuration = allowedBad, minDuration
 }
--- a/balancer/feedback.go
+++ b/balancer/feedback.go
@@ -1,15 +1,16 @@
 package balancer
 
 const (
-	lateFraction          = 0.8 // of the latency objective: slower calls count against tier and class
-	slowFraction          = 0.6 // of the latency objective: slower calls lower the quotas, in good time
+	lateFraction          = 0.8 // of the latency objective: slower calls count against tier and class limits
+	slowFraction          = 0.6 // of the latency objective: slower calls lower quotas before they are late
 	unloadedSlowFactor    = 1.6 // of the latency without load: slower calls lower the quotas too
-	minUnloadedMultiplier = 0.8 // but not below this multiplier, since load is then not what makes them slow
-	preemptionRatio       = 1.5 // a class with more than this many times the priority preempts another
+	minUnloadedMultiplier = 0.8 // but only above this multiplier: below it, load is not what makes calls slow
+	preemptionRatio       = 1.5 // a class preempts classes whose priority is lower by more than this factor
 )
 
-// learn takes what an attempt's outcome shows: of the endpoint, the limits, the quotas and the zone.
-func (b *Balancer) learn(now Microseconds, req *request, a *attempt, o Outcome) {
+// recordOutcome updates the endpoint's health, the latency estimates, the limits, the quotas and the zone
+// preference with the outcome of an attempt.
+func (b *Balancer) recordOutcome(now Microseconds, req *request, a *attempt, o Outcome) {
 	if o.Status == Cancelled || o.Status == NotAttempted {
 		return
 	}
@@ -22,16 +23,17 @@
 	late := failed && !ownFault || !failed && latency > lateFraction*float64(req.class.LatencyObjective)
 	slow := late || !failed && latency > b.slowThreshold(req.class, class)
 	speed := speedOf(failed, latency <= class.latency.unloaded)
-	lateness := sample{sentAt: a.sentAt, bad: late, speed: speed}
-	b.tierLimit.adjust(&b.tierLimit.evidence, now, lateness)
-	class.limit.adjust(&class.limit.evidence, now, lateness)
+	lateSample := sample{sentAt: a.sentAt, bad: late, speed: speed}
+	b.tierLimit.adjust(&b.tierLimit.evidence, now, lateSample)
+	class.limit.adjust(&class.limit.evidence, now, lateSample)
 	if !a.countedSlow {
 		b.applyBackpressure(now, class, a, callResult{slow: slow, failed: failed, speed: speed})
 	}
 }
 
-// slowThreshold is the latency in microseconds above which a call counts as slow: well before its objective,
-// and clearly above the latency without load.
+// slowThreshold returns the latency in microseconds above which a call counts as slow. It is slowFraction of
+// the latency objective or, if that is less, unloadedSlowFactor times the latency without load. The latter
+// applies only at the front tier, and only while the quota multiplier is above minUnloadedMultiplier.
 func (b *Balancer) slowThreshold(c *Class, class *classState) float64 {
 	threshold := slowFraction * float64(c.LatencyObjective)
 	unloaded := unloadedSlowFactor * class.latency.unloaded
@@ -41,8 +43,8 @@
 	return unloaded
 }
 
-// priorityPerWork is the priority of a class's requests for each unit of work. Where the settings state it
-// for each request, the latency without load stands for the work.
+// priorityPerWork returns the priority of a class per unit of work. If the settings state the priority per
+// request, the latency without load is used as the measure of work.
 func (b *Balancer) priorityPerWork(c *Class, class *classState) float64 {
 	if b.settings.PriorityPerWorkUnit {
 		return c.PriorityWeight
@@ -50,24 +52,26 @@
 	return c.PriorityWeight / class.latency.unloaded
 }
 
-// callResult is what a call shows at its end, or while it is outstanding.
+// callResult is the observation of a call at its end or while it is outstanding.
 type callResult struct {
-	slow   bool // over the slow threshold, or late
+	slow   bool // above the slow threshold, or late
 	failed bool
 	speed  responseSpeed
 }
 
-// applyBackpressure takes a call as a sample for what slow calls reduce: the limits of classes with clearly
-// less priority, the tenants' quotas and the preference for the own zone. A call preempts other classes only
-// when it is near its objective; one that is merely slower than without load lowers the quotas alone.
+// applyBackpressure adds a call as a sample to everything that is reduced when calls are slow: the limits of
+// classes with clearly lower priority, the tenants' quotas and the preference for the proxy's own zone. Only
+// a call that is close to its latency objective preempts other classes; one that is merely slower than
+// without load does not.
 func (b *Balancer) applyBackpressure(now Microseconds, class *classState, a *attempt, result callResult) {
-	near := float64(now-a.sentAt) > slowFraction*float64(a.class.LatencyObjective)
-	nearness := sample{sentAt: a.sentAt, bad: result.slow && near, speed: result.speed}
+	nearObjective := float64(now-a.sentAt) > slowFraction*float64(a.class.LatencyObjective)
+	preemptionSample := sample{sentAt: a.sentAt, bad: result.slow && nearObjective, speed: result.speed}
 	priority := b.priorityPerWork(a.class, class)
 	for i, other := range b.classes {
 		preempts := priority > preemptionRatio*b.priorityPerWork(&b.settings.Classes[i], other)
-		if preempts && (near || !a.outstanding) { // an outstanding call may yet come near its objective
-			other.limit.adjust(&other.preemptionEvidence, now, nearness)
+		// An outstanding call that is not near its objective yet may still come near it.
+		if preempts && (nearObjective || !a.outstanding) {
+			other.limit.adjust(&other.preemptionEvidence, now, preemptionSample)
 		}
 	}
 	b.quotas.adjust(now, sample{sentAt: a.sentAt, bad: result.slow, speed: result.speed})
@@ -76,16 +80,17 @@
 	}
 }
 
-// countSlowAttempts counts calls as slow once they are outstanding for longer than the slow threshold, not
-// when they end: in an overload that is seconds later, and quotas must fall before then.
+// countSlowAttempts counts calls as slow as soon as they have been outstanding for longer than the slow
+// threshold. In an overload, calls end seconds later, and quotas must be cut before then.
 func (b *Balancer) countSlowAttempts(now Microseconds) {
 	for _, class := range b.classes {
-		b.countSlowAttemptsOf(now, class)
+		b.countSlowAttemptsInClass(now, class)
 	}
 }
 
-func (b *Balancer) countSlowAttemptsOf(now Microseconds, class *classState) {
-	var thresholdClass *Class // whose threshold it is: the settings of a class may have changed
+// countSlowAttemptsInClass does the same for the calls of one class.
+func (b *Balancer) countSlowAttemptsInClass(now Microseconds, class *classState) {
+	var thresholdClass *Class // that threshold was computed for: a class's settings may have changed
 	threshold := Microseconds(0)
 	for len(class.notYetSlow) > 0 {
 		a := class.notYetSlow[0]
@@ -103,14 +108,14 @@
 	}
 }
 
-// configureEvidence sets what makes rounds bad and how long they last, by the settings.
+// configureEvidence applies the settings to the floors of the limits and to all rounds of evidence.
 func (b *Balancer) configureEvidence() {
 	allowedBad, floor, longest := maxBadFraction, minLimit, Microseconds(0)
 	if b.settings.Tier > 0 {
 		allowedBad, floor = innerMaxBadFraction, innerMinLimit
 	}
 	for i, state := range b.classes {
-		duration := roundObjectives * b.settings.Classes[i].LatencyObjective
+		duration := minDurationObjectives * b.settings.Classes[i].LatencyObjective
 		longest = max(longest, duration)
 		state.limit.floor = floor
 		state.limit.evidence.configure(allowedBad, duration)
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -158,7 +158,7 @@
 	return counts
 }
 
-// drawTime draws a time in [0, most).
-func drawTime(random *rand.Rand, most Microseconds) Microseconds {
+// randomDuration draws a time in [0, most).
+func randomDuration(random *rand.Rand, most Microseconds) Microseconds {
 	return Microseconds(random.Int64N(int64(most)))
 }
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -1,30 +1,30 @@
 package balancer
 
 const (
-	initialMeanObjectives = 0.25  // a fresh replica's guess at the mean latency, in latency objectives
-	initialMeanSamples    = 4.0   // successes that the guess counts as
-	meanLatencyGain       = 0.05  // of the running mean
-	unloadedLatencyGain   = 0.001 // of the latency without load, upwards; it follows downwards at once
-	relativeLatencyGain   = 0.1   // of an endpoint's latency relative to the mean
-	maxRelativeLatency    = 5.0   // a single success counts as no more than this
+	initialMeanFraction = 0.25  // initial estimate of the mean, as a fraction of the latency objective
+	initialMeanSamples  = 4.0   // number of successes that the initial estimate counts as
+	meanLatencyGain     = 0.05  // gain of the mean latency
+	unloadedLatencyGain = 0.001 // gain of the latency without load upwards; it follows downwards at once
+	relativeLatencyGain = 0.1   // gain of an endpoint's latency relative to the mean
+	maxRelativeLatency  = 5.0   // upper bound of the relative latency of a single success
 )
 
-// latencyEstimate is what is known of the latencies of a class's successes, in microseconds.
+// latencyEstimate holds moving averages of the latency of a class's successful calls, in microseconds.
 type latencyEstimate struct {
 	mean      float64
-	unloaded  float64 // the mean while little waits
+	unloaded  float64 // estimated mean without load
 	successes float64
 }
 
-// guess sets the estimate of a class that nothing is known of.
-func (l *latencyEstimate) guess(objective Microseconds) {
-	l.mean = initialMeanObjectives * float64(objective)
+// initFromObjective sets the initial estimate of a class without measurements.
+func (l *latencyEstimate) initFromObjective(objective Microseconds) {
+	l.mean = initialMeanFraction * float64(objective)
 	l.unloaded = l.mean
 }
 
-// record takes the latency of a success at an endpoint, for the class and for the endpoint. The endpoint's
-// latency relative to the class's mean is averaged, not summed up: otherwise all calls would end at one
-// endpoint wherever load does not slow it down.
+// record adds the latency of a successful call to the estimates of the class and of the endpoint. The
+// endpoint's latency relative to the class's mean is averaged rather than summed up: otherwise, wherever load
+// does not slow it down, a single endpoint would get all calls.
 func (l *latencyEstimate) record(ep *endpoint, latency float64) {
 	ratio := min(latency/max(l.mean, 1), maxRelativeLatency)
 	ep.relativeLatency += (ratio - ep.relativeLatency) * relativeLatencyGain
@@ -33,7 +33,8 @@
 	l.unloaded = min(l.mean, l.unloaded+(l.mean-l.unloaded)*l.gain(unloadedLatencyGain))
 }
 
-// gain is the gain of a running mean: that of a plain mean over the successes, until it falls to least.
-func (l *latencyEstimate) gain(least float64) float64 {
-	return max(least, 1/(initialMeanSamples+l.successes))
+// gain returns the gain of a moving average: that of an arithmetic mean over the successes so far, but no
+// less than minGain.
+func (l *latencyEstimate) gain(minGain float64) float64 {
+	return max(minGain, 1/(initialMeanSamples+l.successes))
 }
--- a/balancer/load_model_test.go
+++ b/balancer/load_model_test.go
@@ -131,18 +131,18 @@
 	req.attempts++
 	dial := Microseconds(modelNetworkTime)
 	if m.random.Float64() < m.faults.lateDials {
-		dial += drawTime(m.random, 1_500_000)
+		dial += randomDuration(m.random, 1_500_000)
 	}
 	m.schedule(min(dial, timeout), func() {
 		if dial >= timeout {
-			h.end(req, attempt, ConnectFailed, sent)
+			h.endAttempt(req, attempt, ConnectFailed, sent)
 			return
 		}
 		status, took := m.serve(m.endpoints[endpoint])
 		if left := sent + timeout - m.now; took > left {
 			status, took = TimedOut, left
 		}
-		m.schedule(took, func() { h.end(req, attempt, status, sent) })
+		m.schedule(took, func() { h.endAttempt(req, attempt, status, sent) })
 	})
 }
 
@@ -153,7 +153,7 @@
 	case u < m.faults.resets:
 		return Reset, modelNetworkTime
 	case u < m.faults.resets+m.faults.errors:
-		return Error, modelNetworkTime + drawTime(m.random, modelServiceTime)
+		return Error, modelNetworkTime + randomDuration(m.random, modelServiceTime)
 	case backlog > modelMaxBacklog:
 		return Rejected, modelNetworkTime
 	}
@@ -165,8 +165,8 @@
 	return OK, backlog + work + modelNetworkTime
 }
 
-// end tells the replica how an attempt ended.
-func (h modelHost) end(req *modelRequest, attempt int, status Status, sent Microseconds) {
+// endAttempt tells the replica how an attempt ended.
+func (h modelHost) endAttempt(req *modelRequest, attempt int, status Status, sent Microseconds) {
 	m := h.model
 	if req.done {
 		status = Cancelled
--- a/balancer/ordered_keys.go
+++ b/balancer/ordered_keys.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// keyQueue orders the requests with one key: each starts when the one before it has ended.
+// keyQueue serializes the requests with one key: each request starts after the previous one has ended.
 type keyQueue struct {
 	key           string
 	waiting       []*request   // in order of arrival; the first may have been sent
 	cooldownUntil Microseconds // an attempt may still be running until then
 }
 
-// keyQueues holds the queues of all keys that have waiting requests or a cooldown.
+// keyQueues holds the queues of all keys with waiting requests or a cooldown, by key.
 type keyQueues map[string]*keyQueue
 
-// join puts a request last in its key's queue.
+// join appends a request to the queue of its key.
 func (q keyQueues) join(req *request) {
 	queue := q[req.Key]
 	if queue == nil {
@@ -23,7 +23,7 @@
 	req.queue = queue
 }
 
-// prune forgets a key without waiting requests and cooldown.
+// prune removes a queue that has neither waiting requests nor a cooldown.
 func (q keyQueues) prune(now Microseconds, queue *keyQueue) {
 	if len(queue.waiting) == 0 && now >= queue.cooldownUntil {
 		delete(q, queue.key)
@@ -35,8 +35,9 @@
 	q.waiting = slices.DeleteFunc(q.waiting, func(x *request) bool { return x == req })
 }
 
-// enqueue starts a request that must keep its key's order, or has it wait for no longer than it can still be
-// answered in time. It rejects one whose wait would take longer, which also bounds the queue.
+// enqueue adds a request to the queue of its key, and starts it if it is first and the key is not in
+// cooldown. Otherwise the request waits, but only as long as it can still be answered in time. A request that
+// is expected to wait longer is rejected, which also bounds the queue.
 func (b *Balancer) enqueue(now Microseconds, host Host, req *request) {
 	b.keyQueues.join(req)
 	b.advanceQueue(now, host, req.queue)
@@ -44,7 +45,7 @@
 		return
 	}
 	latency := req.classState.latency.mean
-	remaining := float64(req.deadline(b.settings)-now) - minRemainingMeans*latency
+	remaining := float64(req.deadline(b.settings)-now) - minRemainingMeanLatencies*latency
 	if float64(len(req.queue.waiting)-1)*latency > remaining {
 		b.reject(now, host, req)
 		return
@@ -52,7 +53,8 @@
 	host.SetTimer(max(Microseconds(remaining), 0), timerToken{kind: expiryTimer, subject: req.ID}.String())
 }
 
-// advanceQueue starts the queue's first request unless the key is in its cooldown.
+// advanceQueue starts the first request in the queue, unless it has been sent already or the key is in
+// cooldown.
 func (b *Balancer) advanceQueue(now Microseconds, host Host, queue *keyQueue) {
 	for len(queue.waiting) > 0 && len(queue.waiting[0].attempts) == 0 && now >= queue.cooldownUntil {
 		b.start(now, host, queue.waiting[0])
@@ -60,12 +62,12 @@
 	b.keyQueues.prune(now, queue)
 }
 
-// coolDown pauses a request's key after an attempt that may still be running.
-func (b *Balancer) coolDown(now Microseconds, host Host, req *request, a *attempt) {
+// startCooldown pauses the key of a request after an attempt that may still be running.
+func (b *Balancer) startCooldown(now Microseconds, host Host, req *request, a *attempt) {
 	cooldown := a.settings.OrderedKeyCooldown
 	req.queue.cooldownUntil = max(req.queue.cooldownUntil, now+cooldown)
 	host.SetTimer(cooldown, timerToken{kind: cooldownTimer, subject: req.Key}.String())
 }
 
-// mayStillRun reports whether an endpoint may go on with an attempt that ended so.
+// mayStillRun reports whether an endpoint may still be processing an attempt that ended with this status.
 func (s Status) mayStillRun() bool { return s == TimedOut || s == Reset || s == Cancelled }
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -55,7 +55,7 @@
 		}
 		c := candidate{endpoint: ep, slowStartFactor: b.settings.slowStartFactor(now, ep)}
 		missing -= ep.healthFactor(req.classState) * c.slowStartFactor
-		if req.mayRetryAt(now, ep) {
+		if req.mayRetryOn(now, ep) {
 			c.weight = b.weight(now, ep, req.classState)
 		}
 		if req.triedEndpoint(ep) {
--- a/balancer/quota.go
+++ b/balancer/quota.go
@@ -6,29 +6,31 @@
 )
 
 const (
-	initialQuotaMultiplier  = 2.0  // before any evidence, and at most
-	overloadQuotaMultiplier = 1.0  // at most, after an overload: traffic over the quotas goes first
-	minQuotaMultiplier      = 0.2  // at least
+	initialQuotaMultiplier  = 2.0  // before the first round completes; also the maximum
+	overloadQuotaMultiplier = 1.0  // maximum after an overload, which rejects traffic over the quotas first
+	minQuotaMultiplier      = 0.2  // lower bound
 	innerQuotaMultiplier    = 20.0 // behind the front: quotas count first attempts, and the front sheds load
-	quotaIncrease           = 0.1  // added after a good round
-	quotaRecovery           = 0.15 // the same below 1, where traffic is within the quotas
-	fullBurstMultiplier     = 0.8  // from here on bursts are allowed for in full
-	burstDeviations         = 2.0  // standard deviations of a Poisson count that are taken for chance
-	minWindowCount          = 24.0 // a quota's window grows until it holds this many requests
-	maxSlowFraction         = 0.3  // a larger fraction of slow calls lowers the quotas and leaves the zone
+	quotaIncrease           = 0.1  // added to the multiplier after a good round
+	quotaRecovery           = 0.15 // added instead below 1, where traffic within the quotas is rejected
+	fullBurstMultiplier     = 0.8  // multiplier from which on random bursts are fully allowed
+	burstDeviations         = 2.0  // standard deviations of a Poisson count that are considered random
+	minWindowCount          = 24.0 // the window of a quota is extended until it holds this many requests
+	maxSlowFraction         = 0.3  // a larger fraction of slow calls cuts quotas, limits and zone preference
 )
 
-// tenantQuota is a rule of QPS grade: it limits the requests a second that are admitted for one tenant.
+// tenantQuota limits the rate of requests that are admitted for one tenant (a rule of QPS grade, in
+// Sentinel's terms).
 type tenantQuota struct {
-	fraction float64       // of what all tenants may send
+	fraction float64       // of the rate of all tenants together
 	admitted slidingWindow // requests
 	arrivals decayingCount // requests
 }
 
-// admits reports whether the tenant may have one request more at rate requests a second. Windows grow beyond
-// one second, so that fractional rates work, but not beyond the replica's age. burst is the chance that an
-// excess which may be chance is admitted; u is uniform in [0, 1).
-func (t *tenantQuota) admits(now, firstRequestAt Microseconds, rate, burst, u float64) bool {
+// admits reports whether the quota admits one more request, at a rate in requests per second. The window is
+// extended beyond one second to support fractional rates, but not beyond the age of the replica.
+// burstAllowance is the probability that a request over the rate is admitted if the excess may be random; u
+// must be uniform in [0, 1).
+func (t *tenantQuota) admits(now, firstRequestAt Microseconds, rate, burstAllowance, u float64) bool {
 	age := now - firstRequestAt
 	span := second
 	for span < windowLength && rate*float64(span/second) < minWindowCount && age >= span {
@@ -36,22 +38,23 @@
 	}
 	admitted := t.admitted.sum(now, span)
 	allowed := rate * float64(min(span, max(second, age))) / float64(second)
-	return admitted+1 <= allowed+u || u < burst && admitted <= allowed+burstDeviations*math.Sqrt(allowed)
+	return admitted+1 <= allowed+u ||
+		u < burstAllowance && admitted <= allowed+burstDeviations*math.Sqrt(allowed)
 }
 
-// tenantQuotas holds the quotas of all tenants, and by how much they are stretched or cut.
+// tenantQuotas holds the quotas of all tenants and the multiplier that scales them.
 type tenantQuotas struct {
 	tenants            []*tenantQuota // in the order of the settings
-	fairRate           float64        // requests a second of all tenants within their quotas, at one replica
+	fairRate           float64        // requests per second within all quotas together, at one replica
 	arrivals           decayingCount  // requests of all tenants
-	firstRequestAt     Microseconds   // 0: none yet
-	multiplier         float64        // multiple of its quota that a tenant may pass
+	firstRequestAt     Microseconds   // 0 if there was none yet
+	multiplier         float64        // scales all quotas
 	maxMultiplier      float64
-	overloadMultiplier float64 // the most that an overload leaves
+	overloadMultiplier float64 // maximum after an overload
 	evidence           evidenceRound
 }
 
-// newTenantQuotas returns the quotas of a fresh replica.
+// newTenantQuotas returns the quotas of a new replica.
 func newTenantQuotas(tier int) tenantQuotas {
 	if tier > 0 {
 		return tenantQuotas{multiplier: innerQuotaMultiplier, maxMultiplier: innerQuotaMultiplier,
@@ -61,7 +64,7 @@
 		overloadMultiplier: overloadQuotaMultiplier}
 }
 
-// recordArrival counts a request and returns its tenant's quota, nil if there is no such tenant.
+// recordArrival counts a request and returns the quota of its tenant, or nil if there is no such tenant.
 func (q *tenantQuotas) recordArrival(now Microseconds, tenant int) *tenantQuota {
 	q.firstRequestAt = cmp.Or(q.firstRequestAt, now)
 	q.arrivals.add(now)
@@ -73,15 +76,17 @@
 	return quota
 }
 
-// admits reports whether a tenant may have one request more; u is uniform in [0, 1).
+// admits reports whether a tenant's quota admits one more request; u must be uniform in [0, 1).
 func (q *tenantQuotas) admits(now Microseconds, t *tenantQuota, u float64) bool {
 	rate := q.multiplier * q.fairRate * t.fraction
 	return t.admits(now, q.firstRequestAt, rate, q.burstAllowance(now, t), u)
 }
 
-// burstAllowance is how likely an excess is taken for chance, which a single request is where few come. It
-// is less while calls are slow, and 0 for a tenant that clearly sends more than its part of the quotas and,
-// while nothing is slow, of what this replica gets, since traffic may move here.
+// burstAllowance returns the probability that a request over a tenant's rate is admitted if the excess may be
+// random. At a low rate, a single request can already be such an excess. The probability is lower while calls
+// are slow. It is 0 for a tenant that clearly sends more than its fraction of the quotas; while calls are not
+// slow, the tenant must also clearly send more than its fraction of the requests at this replica, since
+// traffic may have moved here.
 func (q *tenantQuotas) burstAllowance(now Microseconds, t *tenantQuota) float64 {
 	expected := q.fairRate * float64(min(now-q.firstRequestAt, countLifetime)) / float64(second)
 	if q.multiplier >= 1 {
@@ -94,7 +99,7 @@
 	return min(1, q.multiplier/fullBurstMultiplier)
 }
 
-// adjust takes a sample, and changes the multiplier by its round's signal.
+// adjust adds a sample. When this completes a round, adjust changes the multiplier according to its signal.
 func (q *tenantQuotas) adjust(now Microseconds, s sample) {
 	switch signal, factor := q.evidence.add(now, s); {
 	case signal == signalPending:
@@ -109,7 +114,7 @@
 	}
 }
 
-// replaceTenants puts the tenants of new settings in force and keeps what was learned of those that stay.
+// replaceTenants applies the tenants of new settings and keeps the state of those that were there before.
 func (q *tenantQuotas) replaceTenants(before []Tenant, s *Settings) {
 	var quotas []*tenantQuota
 	q.fairRate = 0
@@ -120,7 +125,7 @@
 		}
 		quota.fraction = s.Tenants[i].QuotaFraction
 		quotas = append(quotas, quota)
-		// A replica that carries more than its part learns a higher multiplier.
+		// Replicas get equal shares; one that carries more than its share learns a higher multiplier.
 		q.fairRate += s.Tenants[i].RateQuota / float64(s.Replicas)
 	}
 	q.tenants = quotas
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -53,7 +53,7 @@
 		}
 		state := b.classes[from]
 		if state.latency.successes == 0 && before[from].LatencyObjective != class.LatencyObjective {
-			state.latency.guess(class.LatencyObjective)
+			state.latency.initFromObjective(class.LatencyObjective)
 		}
 		states = append(states, state)
 	}
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -132,8 +132,8 @@
 		class.Idempotency = Idempotency(c.random.IntN(3))
 		class.DedupScope = DedupScope(c.random.IntN(3))
 		class.OrderedByKey = c.random.IntN(3) == 0
-		class.DedupWindow = drawTime(c.random, 600_000)
-		class.LatencyObjective = 200_000 + drawTime(c.random, 600_000)
+		class.DedupWindow = randomDuration(c.random, 600_000)
+		class.LatencyObjective = 200_000 + randomDuration(c.random, 600_000)
 		class.LateFraction = float64(c.random.IntN(2)) * 0.3
 		class.PriorityWeight = 1 + float64(c.random.IntN(20))
 	}
@@ -149,9 +149,9 @@
 	case 2:
 		s.MaxAttempts, s.RejectedMayRun = 1+c.random.IntN(5), !s.RejectedMayRun
 	case 3:
-		s.OrderedKeyCooldown, s.MaxRetryAfter = drawTime(c.random, 100_000), drawTime(c.random, second)
+		s.OrderedKeyCooldown, s.MaxRetryAfter = randomDuration(c.random, 100_000), randomDuration(c.random, second)
 	case 4:
-		s.RetryBudgetWindow = drawTime(c.random, 20) * second
+		s.RetryBudgetWindow = randomDuration(c.random, 20) * second
 		s.RetryBudgetMin, s.RetryBudgetRatio = float64(c.random.IntN(6)), 0.05
 	case 5:
 		s.SlowStartCapacity, s.PriorityPerWorkUnit = 0.1+0.2*c.random.Float64(), !s.PriorityPerWorkUnit
@@ -301,8 +301,8 @@
 	if kept.arrivals.count != 1 || added.arrivals.count != 0 || kept.fraction != 0.4 || b.quotas.fairRate != 15 {
 		t.Errorf("tenants %+v and %+v, %v a second together", kept, added, b.quotas.fairRate)
 	}
-	if duration := b.tierLimit.evidence.minDuration; duration != roundObjectives*800_000 {
-		t.Errorf("a round lasts %d us, want %d", duration, roundObjectives*800_000)
+	if duration := b.tierLimit.evidence.minDuration; duration != minDurationObjectives*800_000 {
+		t.Errorf("a round lasts %d us, want %d", duration, minDurationObjectives*800_000)
 	}
 }
 
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -6,13 +6,13 @@
 	defaultRetryBudgetWindow = 10 * second
 	defaultRetryBudgetMin    = 5.0
 	defaultRetryBudgetRatio  = 0.1
-	retryHistory             = 60 * second // retries are remembered so long: RetryBudgetWindow may grow
+	retryRetention           = 60 * second // retries are kept this long: RetryBudgetWindow may be increased
 
-	dedupSendMargin   = second / 50 // writing a retry and the way to the endpoint take less
-	maxRetryAfterPart = 0.5         // of the latency objective: the longest Retry-After
+	dedupSendMargin       = second / 50 // more than the time to write and transmit a retry
+	maxRetryAfterFraction = 0.5         // of the latency objective: upper bound of Retry-After
 )
 
-// setDefaultRetryBudget sets the default budget where the settings state none.
+// setDefaultRetryBudget applies the default retry budget if the settings contain none.
 func (s *Settings) setDefaultRetryBudget() {
 	if s.RetryBudgetWindow == 0 {
 		s.RetryBudgetWindow = defaultRetryBudgetWindow
@@ -20,7 +20,7 @@
 	}
 }
 
-// retryBudget counts requests and retries, for the budget that Settings state.
+// retryBudget records requests and retries to enforce the retry budget of the settings.
 type retryBudget struct {
 	requests timeline
 	retries  timeline
@@ -31,18 +31,18 @@
 }
 
 func (r *retryBudget) recordRetry(now Microseconds, s *Settings) {
-	r.retries.add(now, max(s.RetryBudgetWindow, retryHistory))
+	r.retries.add(now, max(s.RetryBudgetWindow, retryRetention))
 }
 
-// exhausted reports whether a retry would be over the budget. The budget is exact in the window that ends
-// now: a retry at its far edge counts, a request there does not.
+// exhausted reports whether another retry would exceed the budget. The budget holds exactly in the window
+// that ends now: a retry at the very start of the window counts, a request at that time does not.
 func (r *retryBudget) exhausted(now Microseconds, s *Settings) bool {
 	from := now - s.RetryBudgetWindow
-	return r.retries.since(from)+1 > s.RetryBudgetMin+s.RetryBudgetRatio*r.requests.since(from+1)
+	return r.retries.countSince(from)+1 > s.RetryBudgetMin+s.RetryBudgetRatio*r.requests.countSince(from+1)
 }
 
-// retry makes a further attempt where time, limits, idempotency and the budget allow one. It returns
-// false if it made none.
+// retry makes another attempt if time, limits, idempotency and the retry budget allow it. It returns false if
+// it made none.
 func (b *Balancer) retry(now Microseconds, host Host, req *request) bool {
 	u := b.random.Float64()
 	if len(req.attempts) >= b.settings.MaxAttempts || !req.canFinishInTime(now, b.settings) ||
@@ -56,24 +56,24 @@
 	return true
 }
 
-// dedupDeadline is when a retry's last byte must be sent at the latest: later it might reach endpoints that
-// have forgotten the first attempt that may have run. It is 0 while none may have run, and for classes
-// without idempotency key.
+// dedupDeadline returns the time by which the last byte of a retry must be sent. Sent later, the retry might
+// reach endpoints that no longer remember the first attempt that may have run. dedupDeadline returns 0 if no
+// attempt may have run, and for classes without an idempotency key.
 func (req *request) dedupDeadline() Microseconds {
-	first := slices.IndexFunc(req.attempts, (*attempt).mayHaveRun) // they are in order
+	first := slices.IndexFunc(req.attempts, (*attempt).mayHaveRun) // attempts are in the order of sending
 	if first < 0 || req.class.Idempotency != IdempotentWithKey {
 		return 0
 	}
 	return req.attempts[first].decidedAt + req.class.DedupWindow - dedupSendMargin
 }
 
-// mayRetryAt reports whether idempotency allows a further attempt at an endpoint: once an attempt may have
-// run, a request that is not idempotent goes nowhere, and one with an idempotency key only within the scope
-// that drops repeats, while that remembers it.
-func (req *request) mayRetryAt(now Microseconds, ep *endpoint) bool {
+// mayRetryOn reports whether idempotency allows another attempt at an endpoint. Once an attempt may have run,
+// a request that is not idempotent must not be sent again. A request with an idempotency key may then be sent
+// again only within the scope and the window in which endpoints deduplicate it.
+func (req *request) mayRetryOn(now Microseconds, ep *endpoint) bool {
 	class := req.class
 	for _, a := range req.attempts {
-		if !a.mayRun || class.Idempotency == Idempotent {
+		if !a.possiblyRan || class.Idempotency == Idempotent {
 			continue
 		}
 		if class.Idempotency == NotIdempotent || now >= req.dedupDeadline() ||
@@ -84,7 +84,7 @@
 	return true
 }
 
-// covers reports whether the endpoint drops repeats of an attempt.
+// covers reports whether the endpoint is in the scope that deduplicates repeats of the attempt.
 func (s DedupScope) covers(a *attempt, ep *endpoint) bool {
 	switch s {
 	case DedupZone:
@@ -96,9 +96,9 @@
 	}
 }
 
-// mayReject reports whether a request may be rejected, which promises the client that a retry is harmless.
-// Once an attempt may have run, that holds only where all endpoints drop repeats, and for a client that comes
-// again while they do.
+// mayReject reports whether a request may be rejected, which promises the client that a retry is safe. Once
+// an attempt of a request that is not idempotent may have run, this requires that all endpoints of the tier
+// deduplicate the request and that the client retries within the dedup window.
 func (b *Balancer) mayReject(now Microseconds, req *request) bool {
 	class := req.class
 	return class.Idempotency == Idempotent || !slices.ContainsFunc(req.attempts, (*attempt).mayHaveRun) ||
@@ -106,7 +106,8 @@
 			now+b.settings.maxRetryAfter(class) < req.dedupDeadline()
 }
 
-// maxRetryAfter is the longest Retry-After for a class: a client that comes back later misses the objective.
+// maxRetryAfter returns the longest Retry-After for a class: a client that retries later misses the
+// objective.
 func (s *Settings) maxRetryAfter(class *Class) Microseconds {
-	return min(s.MaxRetryAfter, Microseconds(maxRetryAfterPart*float64(class.LatencyObjective)))
+	return min(s.MaxRetryAfter, Microseconds(maxRetryAfterFraction*float64(class.LatencyObjective)))
 }
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -145,7 +145,7 @@
 			}
 			b.HandleOutcome(now, h, Outcome{ID: id, Attempt: n, Status: status, Latency: 1000, RequestDone: status == OK})
 		}
-		made, taken := retries.since(now-5*second), requests.since(now-5*second+1)
+		made, taken := retries.countSince(now-5*second), requests.countSince(now-5*second+1)
 		if made > 3+0.05*taken {
 			t.Fatalf("at %d: %v retries for %v requests", now-testStart, made, taken)
 		}
--- a/balancer/rules_checker_test.go
+++ b/balancer/rules_checker_test.go
@@ -48,8 +48,8 @@
 // timesOutAt is when the attempt is given up.
 func (a *trackedAttempt) timesOutAt() Microseconds { return a.sentAt + a.timeout }
 
-// violation records that a rule was broken.
-func (c *rulesChecker) violation(format string, a ...any) {
+// addViolation records that a rule was broken.
+func (c *rulesChecker) addViolation(format string, a ...any) {
 	c.violations = append(c.violations, fmt.Sprintf("at %d: ", c.now-testStart)+fmt.Sprintf(format, a...))
 }
 
@@ -57,19 +57,19 @@
 	c.actions = append(c.actions, fmt.Sprintf("%d send %s %s %d", c.now, id, endpoint, timeout))
 	req := c.requests[id]
 	if req == nil || req.closed {
-		c.violation("rule 1: %s sent after its end", id)
+		c.addViolation("rule 1: %s sent after its end", id)
 		return
 	}
 	listed, known := c.listed[endpoint]
 	if !known {
-		c.violation("%s sent to unknown %s", id, endpoint)
+		c.addViolation("%s sent to unknown %s", id, endpoint)
 		return
 	}
 	if since, ok := c.notReadySince[endpoint]; ok && c.now-since > c.settings.DrainGrace {
-		c.violation("rule 3: %s sent to %s, which is not ready since %d us", id, endpoint, c.now-since)
+		c.addViolation("rule 3: %s sent to %s, which is not ready since %d us", id, endpoint, c.now-since)
 	}
 	if len(req.attempts) >= c.settings.MaxAttempts {
-		c.violation("%s sent more than %d times", id, c.settings.MaxAttempts)
+		c.addViolation("%s sent more than %d times", id, c.settings.MaxAttempts)
 	}
 	for _, earlier := range req.attempts {
 		c.checkRetry(req, earlier, listed, dedupDeadline)
@@ -79,7 +79,7 @@
 	}
 	c.checkOrder(req)
 	if timeout < 0 || c.now+timeout > req.request.Deadline {
-		c.violation("rule 1: %s may run %d us past its deadline", id, c.now+timeout-req.request.Deadline)
+		c.addViolation("rule 1: %s may run %d us past its deadline", id, c.now+timeout-req.request.Deadline)
 	}
 	if timeout == 0 {
 		timeout = req.request.Deadline - c.now
@@ -102,7 +102,7 @@
 	}
 	most := c.settings.RetryBudgetMin + c.settings.RetryBudgetRatio*within(c.requestTimes)
 	if c.settings.RetryBudgetWindow > 0 && within(c.retryTimes) > most {
-		c.violation("rule 6: %s sent beyond the retry budget", id)
+		c.addViolation("rule 6: %s sent beyond the retry budget", id)
 	}
 }
 
@@ -116,11 +116,11 @@
 			break
 		}
 		if !earlier.closed || len(earlier.pending) > 0 {
-			c.violation("rule 5: %s sent before %s had ended", req.request.ID, earlier.request.ID)
+			c.addViolation("rule 5: %s sent before %s had ended", req.request.ID, earlier.request.ID)
 		}
 	}
 	if until := c.cooldownUntil[req.request.Key]; len(req.attempts) == 0 && c.now < until {
-		c.violation("rule 5: %s sent %d us before the end of its key's cooldown", req.request.ID, until-c.now)
+		c.addViolation("rule 5: %s sent %d us before the end of its key's cooldown", req.request.ID, until-c.now)
 	}
 }
 
@@ -128,7 +128,7 @@
 func (c *rulesChecker) checkRetry(req *trackedRequest, earlier *trackedAttempt, to Endpoint, dedupDeadline Microseconds) {
 	class := req.class
 	if !earlier.ended {
-		c.violation("%s has two attempts outstanding", req.request.ID)
+		c.addViolation("%s has two attempts outstanding", req.request.ID)
 	}
 	if !earlier.mayHaveRun || class.Idempotency == Idempotent {
 		return
@@ -136,10 +136,10 @@
 	sameScope := class.DedupScope == DedupTier || class.DedupScope == DedupZone && earlier.endpoint.Zone == to.Zone ||
 		class.DedupScope == DedupCell && earlier.endpoint.Cell == to.Cell
 	if class.Idempotency == NotIdempotent || !sameScope || c.now-earlier.sentAt > class.DedupWindow {
-		c.violation("rule 2: %s of class %d sent again after it may have run", req.request.ID, req.request.Class)
+		c.addViolation("rule 2: %s of class %d sent again after it may have run", req.request.ID, req.request.Class)
 	}
 	if end := earlier.sentAt + class.DedupWindow; dedupDeadline == 0 || dedupDeadline > end {
-		c.violation("rule 2: %s may be sent again until %d, its dedup window ends at %d", req.request.ID, dedupDeadline, end)
+		c.addViolation("rule 2: %s may be sent again until %d, its dedup window ends at %d", req.request.ID, dedupDeadline, end)
 	}
 }
 
@@ -153,10 +153,10 @@
 	droppedByTier := class.Idempotency == IdempotentWithKey && class.DedupScope == DedupTier
 	for _, a := range req.attempts {
 		if a.mayHaveRun && class.Idempotency != Idempotent && !droppedByTier {
-			c.violation("rule 2: %s rejected after it may have run", id)
+			c.addViolation("rule 2: %s rejected after it may have run", id)
 		}
 		if a.mayHaveRun && class.Idempotency == IdempotentWithKey && c.now+retryAfter >= a.sentAt+class.DedupWindow {
-			c.violation("rule 2: %s rejected until after its dedup window", id)
+			c.addViolation("rule 2: %s rejected until after its dedup window", id)
 		}
 	}
 }
@@ -170,11 +170,11 @@
 func (c *rulesChecker) close(id string) *trackedRequest {
 	req := c.requests[id]
 	if req == nil || req.closed {
-		c.violation("rule 1: %s answered twice", id)
+		c.addViolation("rule 1: %s answered twice", id)
 		return nil
 	}
 	if c.now > req.request.Deadline {
-		c.violation("rule 1: %s answered %d us late", id, c.now-req.request.Deadline)
+		c.addViolation("rule 1: %s answered %d us late", id, c.now-req.request.Deadline)
 	}
 	req.closed = true
 	return req
--- a/balancer/timer_token.go
+++ b/balancer/timer_token.go
@@ -2,29 +2,30 @@
 
 import "strings"
 
-// timerKind is what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind string
 
 // The kinds of timers.
 const (
-	subscribeTimer timerKind = "subscribe"  // time to try the subscription again
-	expiryTimer    timerKind = "expire"     // a request that waits in its key queue has no time left
-	cooldownTimer  timerKind = "resume-key" // a key queue's cooldown has ended
+	subscribeTimer timerKind = "subscribe"  // the backoff before the next subscription attempt has ended
+	expiryTimer    timerKind = "expire"     // a request in a key queue can no longer be answered in time
+	cooldownTimer  timerKind = "resume-key" // the cooldown of a key queue has ended
 )
 
-// timerTokenSeparator stands between the kind and the subject.
+// timerTokenSeparator separates the kind of a timer from its subject.
 const timerTokenSeparator = ":"
 
-// timerToken identifies a timer that the Host was asked for.
+// timerToken identifies a timer that was set with Host.SetTimer.
 type timerToken struct {
 	kind    timerKind
-	subject string // the request's ID with expiryTimer, the key with cooldownTimer
+	subject string // request ID for expiryTimer, key for cooldownTimer
 }
 
 // String encodes a token for Host.SetTimer.
 func (t timerToken) String() string { return string(t.kind) + timerTokenSeparator + t.subject }
 
-// parseTimerToken decodes what String encoded. Other text gives a token of no known kind.
+// parseTimerToken decodes a token that String has encoded. For other text it returns a token of an unknown
+// kind.
 func parseTimerToken(text string) timerToken {
 	kind, subject, _ := strings.Cut(text, timerTokenSeparator)
 	return timerToken{kind: timerKind(kind), subject: subject}
--- a/balancer/window.go
+++ b/balancer/window.go
@@ -6,10 +6,10 @@
 	windowLength       = windowBuckets * windowBucketLength
 )
 
-// slidingWindow counts events over a sliding time of up to windowLength.
+// slidingWindow counts events in a sliding window of up to windowLength.
 type slidingWindow struct {
-	counts [windowBuckets]int32 // a ring: bucket i of time is at i % windowBuckets
-	newest int64                // the newest bucket, counted from time 0
+	counts [windowBuckets]int32 // ring buffer: bucket i is at index i % windowBuckets
+	newest int64                // number of the newest bucket; bucket 0 starts at time 0
 }
 
 // add counts an event.
@@ -18,7 +18,7 @@
 	w.counts[w.newest%windowBuckets]++
 }
 
-// advance empties the buckets that have left the window.
+// advance clears the buckets that have left the window.
 func (w *slidingWindow) advance(now Microseconds) {
 	current := int64(now / windowBucketLength)
 	for i := max(w.newest+1, current-windowBuckets+1); i <= current; i++ {
@@ -27,7 +27,7 @@
 	w.newest = max(w.newest, current)
 }
 
-// sum returns the number of events in the last span, which is a multiple of windowBucketLength.
+// sum returns the number of events in the last span, which must be a multiple of windowBucketLength.
 func (w *slidingWindow) sum(now, span Microseconds) float64 {
 	w.advance(now)
 	total := int32(0)
