--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Every attempt times out: the client has its final answer before its deadline.
-func TestHandleOutcomeAnswersByDeadlineAfterTimeOuts(t *testing.T) {
+// If every attempt times out, the client must still get its final answer before its deadline.
+func TestHandleOutcomeAnswersByDeadlineAfterTimeouts(t *testing.T) {
 	for class := range testSettings().Classes {
 		t.Run(fmt.Sprint("class", class), func(t *testing.T) {
 			b, h := newWithEndpoints(t, testSettings(), 4)
@@ -52,8 +52,8 @@
 	}
 }
 
-// Request IDs, keys and endpoints are always new, as over a long time.
-func TestBalancerForgetsWhatHasEnded(t *testing.T) {
+// A long run with ever new request IDs, keys and endpoints must not accumulate state.
+func TestBalancerDoesNotAccumulateState(t *testing.T) {
 	s := testSettings()
 	s.OrderedKeyCooldown = 1000
 	for i := range s.Classes {
@@ -65,7 +65,7 @@
 	for i := range 30_000 {
 		now += 2_000
 		id := fmt.Sprint("r", i)
-		if i%10 == 0 { // an endpoint is replaced
+		if i%10 == 0 { // replace an endpoint
 			b.UpdateEndpoints(now, h, IncrementalUpdate, []Endpoint{
 				{ID: fmt.Sprint("n", i), Cell: i, State: Ready, Capacity: 1, StartedAt: now},
 				{ID: fmt.Sprint("n", i-100), State: Removed},
@@ -84,9 +84,9 @@
 			b.TimerFired(now+2_000, h, token)
 		}
 	}
-	unmarked := 0
+	keptAttempts := 0
 	for _, class := range b.classes {
-		unmarked += len(class.notYetSlow)
+		keptAttempts += len(class.notYetSlow)
 	}
 	for _, c := range []struct {
 		what      string
@@ -98,7 +98,7 @@
 		{"endpoints", len(b.endpoints.all), 20},
 		{"times of requests", len(b.retries.requests), 6000},
 		{"times of retries", len(b.retries.retries), 6000},
-		{"unmarked attempts", unmarked, 2000},
+		{"attempts not yet slow", keptAttempts, 2000},
 	} {
 		if c.got > c.most {
 			t.Errorf("%d %s are kept, want at most %d", c.got, c.what, c.most)
--- a/balancer/decaying_count_test.go
+++ b/balancer/decaying_count_test.go
@@ -12,7 +12,7 @@
 	for _, lifetimes := range []float64{0, 1, 3} {
 		now := testStart + Microseconds(lifetimes*float64(countLifetime))
 		if got, want := c.at(now), 2*math.Exp(-lifetimes); math.Abs(got-want) > 1e-9 {
-			t.Errorf("after %v lifetimes: %v, want %v", lifetimes, got, want)
+			t.Errorf("count after %v lifetimes: %v, want %v", lifetimes, got, want)
 		}
 	}
 }
--- a/balancer/driver_test.go
+++ b/balancer/driver_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// driver generates random events, as the protocol allows them, for one Balancer.
+// driver generates random events that the protocol allows, for one Balancer.
 type driver struct {
 	t            *testing.T
 	random       *rand.Rand
@@ -16,11 +16,11 @@
 	balancer     *Balancer
 	now          Microseconds
 	requestCount int
-	openRequests []string      // those with an outstanding attempt or without an answer
+	openRequests []string      // those with an outstanding attempt or without a final answer
 	beforeStep   func(*driver) // may be nil
 }
 
-// restart replaces the Balancer by a fresh one.
+// restart replaces the Balancer with a new one.
 func (d *driver) restart() {
 	b, err := New(d.checker.settings, d.random.Uint64())
 	if err != nil {
@@ -35,7 +35,7 @@
 	d.completeUpdate(CachedUpdate)
 }
 
-// randomEndpoint returns the entry of an endpoint that may be draining or have started lately.
+// randomEndpoint returns the entry of an endpoint, which may be draining or have started recently.
 func (d *driver) randomEndpoint(i int) Endpoint {
 	e := Endpoint{ID: fmt.Sprintf("s%d", i), Zone: i % 2, Cell: i / 4, State: Ready, Capacity: 1}
 	switch d.random.IntN(6) {
@@ -47,10 +47,10 @@
 	return e
 }
 
-// driverEndpoints is how many endpoints there are.
+// driverEndpoints is the number of endpoints.
 const driverEndpoints = 16
 
-// completeUpdate sends a complete list that lacks some endpoints.
+// completeUpdate sends a complete list, in which some endpoints are missing.
 func (d *driver) completeUpdate(kind UpdateKind) {
 	var list []Endpoint
 	for i := range driverEndpoints {
@@ -96,8 +96,8 @@
 	d.checkNotLost(r.ID)
 }
 
-// checkNotLost checks that a request is closed, has an attempt outstanding or waits in its key's queue with a timer:
-// nothing else would ever end it.
+// checkNotLost checks that a request is closed, has an outstanding attempt, or waits in the queue of its key
+// with a timer: nothing else would ever end it.
 func (d *driver) checkNotLost(id string) {
 	req := d.checker.requests[id]
 	waits := len(req.attempts) == 0 && req.class.OrderedByKey && req.request.Key != "" &&
@@ -105,11 +105,11 @@
 			return t.due <= req.request.Deadline && strings.Contains(t.token, id)
 		})
 	if !req.closed && len(req.pending) == 0 && !waits {
-		d.checker.addViolation("rule 1: %s is neither closed, outstanding nor waiting", id)
+		d.checker.addViolation("rule 1: %s is neither closed nor outstanding nor waiting", id)
 	}
 }
 
-// endOpenRequest ends an attempt of an open request.
+// endOpenRequest ends an attempt of a random open request.
 func (d *driver) endOpenRequest() {
 	if len(d.openRequests) == 0 {
 		return
@@ -128,7 +128,7 @@
 	d.checkNotLost(id)
 }
 
-// endAttempt ends a request's oldest outstanding attempt.
+// endAttempt ends the oldest outstanding attempt of a request.
 func (d *driver) endAttempt(req *trackedRequest, status Status) {
 	n := req.pending[0]
 	req.pending = req.pending[1:]
@@ -146,7 +146,7 @@
 		Latency: d.now - a.sentAt, RequestDone: req.closed})
 }
 
-// fireDue fires the timers that are due, and ends the attempts whose time-out has passed.
+// fireDue fires the timers that are due, and ends the attempts whose timeout has passed.
 func (d *driver) fireDue() {
 	for i := 0; i < len(d.checker.timers); i++ {
 		if t := d.checker.timers[i]; t.due <= d.now {
@@ -164,7 +164,7 @@
 	}
 }
 
-// nextDue is when the first timer or time-out is due, but no later than 20 ms from now.
+// nextDue returns the time at which the next timer or timeout is due, but at most 20 ms from now.
 func (d *driver) nextDue() Microseconds {
 	due := d.now + 20_000
 	for _, id := range d.openRequests {
@@ -201,7 +201,7 @@
 		d.balancer.TimerFired(d.now, d.checker, timerToken{kind: subscribeTimer}.String())
 	case x < 975:
 		d.cancel()
-	case x < 985: // events that name nothing known
+	case x < 985: // events with unknown IDs
 		d.balancer.HandleOutcome(d.now, d.checker, Outcome{ID: "nobody", Attempt: 3, Status: Error})
 		d.balancer.CancelRequest(d.now, d.checker, "nobody")
 		d.balancer.TimerFired(d.now, d.checker, "nothing")
@@ -211,7 +211,7 @@
 	}
 }
 
-// cancel has the client of an open request cancel it.
+// cancel cancels a random open request.
 func (d *driver) cancel() {
 	if len(d.openRequests) == 0 {
 		return
@@ -221,8 +221,8 @@
 	d.balancer.CancelRequest(d.now, d.checker, req.request.ID)
 }
 
-// runRandomEvents generates a sequence of events. It returns the Balancer's actions and which rules they broke.
-// beforeStep is called before each step and may be nil.
+// runRandomEvents generates a sequence of events. It returns the actions of the Balancer and the violations
+// of rules. beforeStep is called before each step and may be nil.
 func runRandomEvents(t *testing.T, seed uint64, steps int, beforeStep func(*driver)) (actions, violations []string) {
 	t.Helper()
 	s := testSettings()
--- a/balancer/evidence_test.go
+++ b/balancer/evidence_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A replica with little traffic completes a round by time, but only a good one.
+// At a replica with little traffic, a round with few samples completes after its minimum duration, but only
+// if it is good.
 func TestEvidenceRoundCompletesFewSamplesByTimeOnlyWhenGood(t *testing.T) {
 	type step struct {
 		now    Microseconds
--- a/balancer/feedback_test.go
+++ b/balancer/feedback_test.go
@@ -24,15 +24,18 @@
 	}
 	feedSlow(1)
 	if lowPriority.max > 10 || highPriority.max != initialLimit {
-		t.Errorf("slow calls of the class of higher priority leave limits %v and %v", lowPriority.max, highPriority.max)
+		t.Errorf("limits %v and %v after slow calls of the class with higher priority",
+			lowPriority.max, highPriority.max)
 	}
 	feedSlow(0)
 	if highPriority.max != initialLimit {
-		t.Errorf("slow calls of the class of lower priority cut the other's limit to %v", highPriority.max)
+		t.Errorf("slow calls of the class with lower priority reduced the other limit to %v",
+			highPriority.max)
 	}
 }
 
-// A third of the calls of the class of higher priority take much longer than the rest, all well within the objective.
+// A third of the calls of the class with higher priority take much longer than the others, but stay well
+// within the objective.
 func TestApplyBackpressureIgnoresVaryingLatency(t *testing.T) {
 	s := testSettings()
 	s.Classes[1].PriorityWeight = 40
@@ -49,7 +52,7 @@
 		}
 		id, class, steps := fmt.Sprint(step), int(step/3%2), Microseconds(10)
 		if class == 1 && step%9 == 0 {
-			steps = 28 // 0.28 s, with an objective of 0.5 s
+			steps = 28 // 0.28 s; the objective is 0.5 s
 		}
 		sendRequest(b, h, now, id, class)
 		if b.requests[id] != nil {
@@ -61,7 +64,8 @@
 	}
 }
 
-// newTwoClasses returns a Balancer with a class of low and one of high priority, each with calls in flight.
+// newTwoClasses returns a Balancer with a class of low and a class of high priority, each with calls in
+// flight.
 func newTwoClasses(t *testing.T) (b *Balancer, low, high *classState) {
 	t.Helper()
 	s := testSettings()
@@ -83,7 +87,7 @@
 		latency     Microseconds
 		outstanding bool
 		preempted   bool
-		samples     int // of the class of low priority
+		samples     int // of the class with low priority
 	}{
 		{"ended near its objective", objective * 3 / 4, false, true, 1},
 		{"outstanding near its objective", objective * 3 / 4, true, true, 1},
@@ -104,13 +108,14 @@
 				feed()
 			}
 			if preempted := low.limit.max <= 10; preempted != c.preempted {
-				t.Errorf("limit %v of the class of low priority, want it cut: %v", low.limit.max, c.preempted)
+				t.Errorf("limit %v of the class with low priority, want it reduced: %v",
+					low.limit.max, c.preempted)
 			}
 		})
 	}
 }
 
-func TestApplyBackpressureTakesOwnZoneOnlyIntoZonePreference(t *testing.T) {
+func TestApplyBackpressureAdjustsZonePreferenceByOwnZoneOnly(t *testing.T) {
 	for zone, want := range []int{1, 0} {
 		t.Run(fmt.Sprint("zone ", zone), func(t *testing.T) {
 			b, _, _ := newTwoClasses(t)
@@ -123,7 +128,7 @@
 	}
 }
 
-// A call that was counted as slow while it was outstanding must not count again at its end.
+// A call that was counted as slow while it was outstanding must not be counted again when it ends.
 func TestHandleOutcomeCountsSlowAttemptOnce(t *testing.T) {
 	b, h := newWithEndpoints(t, testSettings(), 4)
 	sendRequest(b, h, testStart, "slow", idempotentClass)
@@ -148,8 +153,8 @@
 	}{
 		{"fast without load", 0, 1, 100_000, unloadedSlowFactor * 100_000},
 		{"slow without load", 0, 1, 400_000, slowFraction * objective},
-		{"quotas cut", 0, minUnloadedMultiplier, 100_000, slowFraction * objective},
-		{"behind the front", 1, 1, 100_000, slowFraction * objective},
+		{"quotas reduced", 0, minUnloadedMultiplier, 100_000, slowFraction * objective},
+		{"behind the front tier", 1, 1, 100_000, slowFraction * objective},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := testSettings()
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// testStart is when the tests' events begin.
+// testStart is the time of the first event in tests.
 const testStart = Microseconds(1_000_000_000)
 
 // The classes of testSettings.
@@ -19,7 +19,7 @@
 	keyedByZoneClass
 )
 
-// recorder is a Host that records its calls.
+// recorder is a Host that records the calls of its methods.
 type recorder struct {
 	actions       []string
 	sends         []sentAttempt
@@ -63,7 +63,7 @@
 	r.subscriptions++
 }
 
-// last returns the latest action, empty if there was none.
+// last returns the latest action, or an empty string if there was none.
 func (r *recorder) last() string {
 	if len(r.actions) == 0 {
 		return ""
@@ -71,7 +71,7 @@
 	return r.actions[len(r.actions)-1]
 }
 
-// testSettings has a class of each kind of idempotency.
+// testSettings returns settings with a class of each kind of idempotency and dedup scope.
 func testSettings() Settings {
 	s := Settings{Replicas: 1, Zones: 2, MaxAttempts: 4, DrainGrace: 500_000,
 		SlowStartCapacity: 0.2, SlowStartDuration: 20_000_000}
@@ -89,7 +89,7 @@
 	return s
 }
 
-// named gives the classes and tenants names, so that Reconfigure identifies them wherever they stand.
+// named names the classes and tenants, so that Reconfigure identifies them by name instead of by index.
 func named(s Settings) Settings {
 	s.Classes, s.Tenants = slices.Clone(s.Classes), slices.Clone(s.Tenants)
 	for i := range s.Classes {
@@ -117,7 +117,7 @@
 	}
 }
 
-// readyEndpoints lists n ready endpoints: cells of two, zones alternating by cell.
+// readyEndpoints returns n ready endpoints, two in each cell, with cells alternating between two zones.
 func readyEndpoints(n int) []Endpoint {
 	var list []Endpoint
 	for i := range n {
@@ -134,17 +134,18 @@
 	return b, h
 }
 
-// sendRequest has a request arrive that its client waits a second for.
+// sendRequest has a request arrive whose client waits for a second.
 func sendRequest(b *Balancer, h Host, now Microseconds, id string, class int) {
 	b.HandleRequest(now, h, Request{ID: id, Class: class, Deadline: now + second})
 }
 
-// succeed ends a request's first attempt with success.
+// succeed ends the first attempt of a request with success.
 func succeed(b *Balancer, h Host, now Microseconds, id string, latency Microseconds) {
 	b.HandleOutcome(now, h, Outcome{ID: id, Status: OK, Latency: latency, RequestDone: true})
 }
 
-// countSends has n requests arrive, each answered at once, and counts what each endpoint got.
+// countSends has n requests arrive, answers each one immediately, and returns the number of requests per
+// endpoint.
 func countSends(b *Balancer, now Microseconds, n int) map[string]int {
 	h, counts := &recorder{}, map[string]int{}
 	for i := range n {
@@ -158,7 +159,7 @@
 	return counts
 }
 
-// randomDuration draws a time in [0, most).
-func randomDuration(random *rand.Rand, most Microseconds) Microseconds {
-	return Microseconds(random.Int64N(int64(most)))
+// randomDuration returns a random duration in [0, limit).
+func randomDuration(random *rand.Rand, limit Microseconds) Microseconds {
+	return Microseconds(random.Int64N(int64(limit)))
 }
--- a/balancer/latency_test.go
+++ b/balancer/latency_test.go
@@ -7,11 +7,12 @@
 	l := latencyEstimate{mean: 100_000, unloaded: 100_000, successes: 1000}
 	l.record(ep, 1000*l.mean)
 	if want := 1 + (maxRelativeLatency-1)*relativeLatencyGain; ep.relativeLatency != want {
-		t.Errorf("relative latency %v after a success of 1000 means, want %v", ep.relativeLatency, want)
+		t.Errorf("relative latency %v after a success with 1000 times the mean latency, want %v",
+			ep.relativeLatency, want)
 	}
 }
 
-func TestLatencyEstimateFollowsUnloadedLatencyDownwardsAtOnce(t *testing.T) {
+func TestLatencyEstimateLowersUnloadedLatencyAtOnce(t *testing.T) {
 	l := latencyEstimate{mean: 100_000, unloaded: 100_000, successes: 1000}
 	ep := &endpoint{relativeLatency: 1}
 	l.record(ep, 60_000)
@@ -21,6 +22,7 @@
 	before := l
 	l.record(ep, 160_000)
 	if l.mean <= before.mean || l.unloaded <= before.unloaded || l.unloaded-before.unloaded > 0.01*(l.mean-before.mean) {
-		t.Errorf("from %+v to %+v after a slow success, want unloaded to rise by far less than mean", before, l)
+		t.Errorf("estimate %+v became %+v after a slow success, want unloaded to rise far less than mean",
+			before, l)
 	}
 }
--- a/balancer/load_model_test.go
+++ b/balancer/load_model_test.go
@@ -8,30 +8,31 @@
 	"baylock/internal/timing"
 )
 
-// The load model has some replicas of the balancer before endpoints with one worker and one queue each.
+// The load model consists of several replicas of the balancer in front of endpoints with one worker and one
+// queue each.
 const (
 	modelReplicas    = 4
 	modelEndpoints   = 16
-	modelServiceTime = 50_000 // mean in microseconds, exponentially distributed
+	modelServiceTime = 50_000 // mean of an exponential distribution, in microseconds
 	modelNetworkTime = 1_000  // microseconds
-	modelMaxBacklog  = second // an endpoint with a longer one rejects
+	modelMaxBacklog  = second // an endpoint with a longer backlog rejects calls
 
-	modelCapacity = modelEndpoints * float64(second) / modelServiceTime // calls a second
+	modelCapacity = modelEndpoints * float64(second) / modelServiceTime // calls per second
 )
 
-// modelFaults are fractions of all requests, but for slowBacklog.
+// modelFaults configures faults. All fields except slowBacklog are fractions of all requests.
 type modelFaults struct {
-	lateDials   float64 // whose connection comes up to 1.5 s late
+	lateDials   float64 // requests whose connection is delayed by up to 1.5 s
 	resets      float64
-	errors      float64      // that a deeper tier fails
-	cancels     float64      // whose client is gone after 0.2 s
-	slowBacklog Microseconds // an endpoint with a longer backlog works at half its speed; 0: never
+	errors      float64      // requests that fail in a deeper tier
+	cancels     float64      // requests that the client cancels after 0.2 s
+	slowBacklog Microseconds // endpoints with a longer backlog work at half speed; 0: never
 }
 
-// modelEndpoint serves one call after the other.
+// modelEndpoint serves one call at a time.
 type modelEndpoint struct{ freeAt Microseconds }
 
-// modelRequest is a request and what has become of it.
+// modelRequest is a request and its progress.
 type modelRequest struct {
 	id        string
 	replica   int
@@ -40,7 +41,7 @@
 	done      bool
 }
 
-// loadModel runs the model's events and counts how requests end.
+// loadModel runs the events of the model and counts how requests end.
 type loadModel struct {
 	random    *rand.Rand
 	faults    modelFaults
@@ -56,7 +57,7 @@
 	failed    int
 }
 
-// modelHost carries out what one replica decides.
+// modelHost carries out the decisions of one replica.
 type modelHost struct {
 	model   *loadModel
 	replica int
@@ -92,7 +93,8 @@
 	m.events.Add(timing.NewTimer(m.now+delay, do))
 }
 
-// run has requests arrive for a time, at a part of the endpoints' capacity, and counts anew.
+// run resets the counts and has requests arrive for the given time. load is the rate as a fraction of the
+// endpoints' capacity.
 func (m *loadModel) run(load float64, span Microseconds) {
 	m.arrived, m.inTime, m.shed, m.rejected, m.failed = 0, 0, 0, 0, 0
 	end := m.now + span
@@ -108,7 +110,7 @@
 	}
 }
 
-// arrive has a request arrive at a replica.
+// arrive has a request arrive at a random replica.
 func (m *loadModel) arrive() {
 	m.arrived++
 	req := &modelRequest{id: fmt.Sprint(len(m.requests)), replica: m.random.IntN(modelReplicas), arrivedAt: m.now}
@@ -138,15 +140,15 @@
 			h.endAttempt(req, attempt, ConnectFailed, sent)
 			return
 		}
-		status, took := m.serve(m.endpoints[endpoint])
-		if left := sent + timeout - m.now; took > left {
-			status, took = TimedOut, left
+		status, duration := m.serve(m.endpoints[endpoint])
+		if remaining := sent + timeout - m.now; duration > remaining {
+			status, duration = TimedOut, remaining
 		}
-		m.schedule(took, func() { h.endAttempt(req, attempt, status, sent) })
+		m.schedule(duration, func() { h.endAttempt(req, attempt, status, sent) })
 	})
 }
 
-// serve puts a call into an endpoint's queue and returns how it will end and after what time.
+// serve puts a call into an endpoint's queue and returns its status and the time until it ends.
 func (m *loadModel) serve(ep *modelEndpoint) (Status, Microseconds) {
 	backlog := max(0, ep.freeAt-m.now)
 	switch u := m.random.Float64(); {
@@ -165,7 +167,7 @@
 	return OK, backlog + work + modelNetworkTime
 }
 
-// endAttempt tells the replica how an attempt ended.
+// endAttempt reports the end of an attempt to the replica.
 func (h modelHost) endAttempt(req *modelRequest, attempt int, status Status, sent Microseconds) {
 	m := h.model
 	if req.done {
@@ -209,7 +211,8 @@
 	t.Logf("%d arrived, %d in time, %d shed, %d rejected, %d failed", m.arrived, m.inTime, m.shed, m.rejected, m.failed)
 }
 
-// A tenth of the load, with late connections, resets, failures of a deeper tier and clients that cancel.
+// A tenth of the load that the endpoints can serve, with late connections, resets, failures of a deeper tier
+// and clients that cancel.
 func TestBalancerShedsLittleUnderFaultsAtLowLoad(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -217,14 +220,14 @@
 			m.run(0.1, 60*second)
 			m.log(t)
 			if float64(m.shed) > 0.01*float64(m.arrived) {
-				t.Errorf("%d of %d shed, want at most 1 %%", m.shed, m.arrived)
+				t.Errorf("%d of %d requests shed, want at most 1 %%", m.shed, m.arrived)
 			}
 		})
 	}
 }
 
-// 1.4 times the load that the endpoints can serve: nine tenths of their capacity are answered in time on the mean of
-// the seeds, and hardly less for each.
+// At 1.4 times the load that the endpoints can serve, 90% of their capacity must be answered in time on
+// average over the seeds, and hardly less with each seed.
 func TestBalancerKeepsGoodputUnderOverload(t *testing.T) {
 	const seeds, span = 8, 20 * second
 	sum := 0.0
@@ -246,7 +249,8 @@
 	}
 }
 
-// Endpoints that work at half their speed while overloaded recover within ten seconds of the load's fall.
+// Endpoints that work at half speed while overloaded must recover within ten seconds after the load has
+// fallen.
 func TestBalancerRecoversAfterOverload(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -256,7 +260,8 @@
 			m.run(0.7, 5*second)
 			m.log(t)
 			if float64(m.inTime) < 0.95*float64(m.arrived) {
-				t.Errorf("%d of %d in time from 10 s after the load's fall, want 95 %%", m.inTime, m.arrived)
+				t.Errorf("%d of %d requests in time, from 10 s after the load fell, want 95 %%",
+					m.inTime, m.arrived)
 			}
 		})
 	}
--- a/balancer/ordered_keys_test.go
+++ b/balancer/ordered_keys_test.go
@@ -27,10 +27,10 @@
 	handle(testStart+3, "other", "j")
 	handle(testStart+4, "free", "")
 	if got := h.sentIDs(); !slices.Equal(got, []string{"a", "other", "free"}) {
-		t.Fatalf("sent %v", got)
+		t.Fatalf("sent %v before any attempt ended", got)
 	}
 	b.CancelRequest(testStart+5, h, "b")
-	b.CancelRequest(testStart+6, h, "a") // done, but its attempt is outstanding
+	b.CancelRequest(testStart+6, h, "a") // done, but its attempt is still outstanding
 	if got := h.sentIDs(); len(got) != 3 {
 		t.Fatalf("sent %v while an attempt with the key was outstanding", got)
 	}
@@ -48,12 +48,12 @@
 		t.Errorf("got %q when a waiting request expired", h.last())
 	}
 	succeed(b, h, testStart+102_000, "c", 1000)
-	if len(b.keyQueues) != 1 || len(b.requests) != 2 { // of "other" and "free"
+	if len(b.keyQueues) != 1 || len(b.requests) != 2 { // those of "other" and "free"
 		t.Errorf("%d keys and %d requests are kept, want 1 and 2", len(b.keyQueues), len(b.requests))
 	}
 }
 
-// Attempts that were sent before the cooldown got shorter keep theirs.
+// Attempts sent before Reconfigure shortened the cooldown keep the longer one.
 func TestKeyQueueKeepsCooldownAcrossReconfigure(t *testing.T) {
 	s := named(testSettings())
 	s.Classes[idempotentClass].OrderedByKey, s.OrderedKeyCooldown = true, 100_000
@@ -67,10 +67,10 @@
 	b.HandleOutcome(testStart+2000, h, Outcome{ID: "a", Attempt: 1, Status: Reset, Latency: 1000})
 	b.HandleOutcome(testStart+3000, h, Outcome{ID: "a", Attempt: 2, Status: OK, Latency: 1000, RequestDone: true})
 	if len(h.sends) != 3 {
-		t.Fatalf("before the cooldown of 100 ms is over: %q", h.actions)
+		t.Fatalf("actions before the end of the cooldown of 100 ms: %q", h.actions)
 	}
 	b.TimerFired(testStart+101_000, h, timerToken{cooldownTimer, "k"}.String())
 	if got := h.sentIDs(); got[len(got)-1] != "b" {
-		t.Errorf("after the cooldown: %q", h.actions)
+		t.Errorf("actions after the cooldown: %q, want the second request sent", h.actions)
 	}
 }
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// countAdmitted counts what a quota of rate requests a second admits from a time on, asked at each step.
+// countAdmitted returns how many requests a quota with the given rate per second admits when one arrives at
+// each step.
 func countAdmitted(quota *tenantQuota, rate float64, span, step Microseconds) int {
 	admitted := 0
 	for now := testStart; now < testStart+span; now += step {
@@ -25,20 +26,20 @@
 			const seconds = 40
 			got := float64(countAdmitted(&tenantQuota{}, rate, seconds*second, second/100)) / seconds
 			if math.Abs(got-rate) > 0.15*rate+1.0/seconds {
-				t.Errorf("admits %.2f a second, want %.1f", got, rate)
+				t.Errorf("quota admits %.2f requests per second, want %.1f", got, rate)
 			}
 		})
 	}
 }
 
-// A fresh replica must not admit a long window of requests at once.
-func TestTenantQuotaLimitsFreshReplica(t *testing.T) {
+// A new replica must not admit the requests of a long window at once.
+func TestTenantQuotaLimitsNewReplica(t *testing.T) {
 	if admitted := countAdmitted(&tenantQuota{}, 3, second, second/100); admitted > 4 {
-		t.Errorf("admits %d in the first second, at 3 a second", admitted)
+		t.Errorf("quota admits %d requests in the first second, at 3 per second", admitted)
 	}
 }
 
-// Many replicas with a rate far below one request per window must not admit one each.
+// Many replicas whose rate is far below one request per window must not admit one request each.
 func TestTenantQuotaAdmitsLessThanOneRequestPerWindow(t *testing.T) {
 	const replicas = 200
 	admitted := 0
@@ -53,15 +54,16 @@
 		}
 	}
 	if admitted >= replicas || admitted == 0 {
-		t.Errorf("%d replicas with 0.01 a second admit %d in 8 s, want some and fewer than one each", replicas, admitted)
+		t.Errorf("%d replicas with 0.01 requests/s admit %d in 8 s, want some and fewer than one each",
+			replicas, admitted)
 	}
 }
 
-// Each tenant sends less than one request per window.
+// A tenant sends one request every 4 s. At the low multiplier, each of these exceeds its rate.
 func TestBurstAllowanceFallsWithMultiplier(t *testing.T) {
 	for _, c := range []struct {
 		multiplier  float64
-		least, most int // of 100
+		least, most int // requests sent, of 100
 	}{{1, 95, 100}, {0.2, 20, 60}} {
 		t.Run(fmt.Sprint(c.multiplier), func(t *testing.T) {
 			s := testSettings()
@@ -76,29 +78,30 @@
 				succeed(b, h, now, id, 1000)
 			}
 			if n := len(h.sends); n < c.least || n > c.most {
-				t.Errorf("%d of 100 are sent, want %d to %d", n, c.least, c.most)
+				t.Errorf("%d of 100 requests sent, want %d to %d", n, c.least, c.most)
 			}
 		})
 	}
 }
 
-// At a replica that gets a request a second, chance alone fills a tenant's quota. A tenant that goes on sending more
-// than its quota must be limited all the same.
-func TestBurstAllowanceCoversChanceNotExcess(t *testing.T) {
+// At a replica with one request per second, random bursts alone can use up a tenant's quota. A tenant that
+// keeps sending more than its quota must be limited nevertheless.
+func TestBurstAllowanceCoversRandomBurstsButNotSustainedExcess(t *testing.T) {
 	for _, c := range []struct {
-		rate                        float64 // of tenant 0, whose quota is 0.3; the others send 0.25 a second each
+		rate                        float64 // of tenant 0 with a quota of 0.3; the others send 0.25 each
 		leastRejected, mostRejected float64
 	}{{0.25, 0, 0.05}, {3, 0.6, 1}} {
 		t.Run(fmt.Sprint(c.rate), func(t *testing.T) {
 			if rejected := rejectedFraction(t, c.rate); rejected > c.mostRejected || rejected < c.leastRejected {
-				t.Errorf("%.2f are rejected, want %.2f to %.2f", rejected, c.leastRejected, c.mostRejected)
+				t.Errorf("fraction %.2f rejected, want %.2f to %.2f",
+					rejected, c.leastRejected, c.mostRejected)
 			}
 		})
 	}
 }
 
-// rejectedFraction returns what part of the requests of the first of four tenants 20 replicas reject. It sends rate
-// requests a second, the others 0.25 each.
+// rejectedFraction returns the fraction of the first tenant's requests that 20 replicas reject. The first of
+// four tenants sends rate requests per second to each replica, the others 0.25.
 func rejectedFraction(t *testing.T, rate float64) float64 {
 	t.Helper()
 	s := testSettings()
@@ -137,7 +140,7 @@
 	n := 0
 	for now := testStart; now < testStart+4*second; now += second / 100 {
 		tenant := 0
-		if n++; n%10 == 0 { // tenant 0 sends 90 a second, tenant 1 sends 10
+		if n++; n%10 == 0 { // tenant 0 sends 90 requests per second, tenant 1 sends 10
 			tenant = 1
 		}
 		id, before := fmt.Sprint(n), len(h.sends)
@@ -148,14 +151,15 @@
 		}
 	}
 	if sent[1] != 40 {
-		t.Errorf("%d of 40 requests of the tenant within its quota are sent", sent[1])
+		t.Errorf("%d of 40 requests sent for the tenant within its quota, want all", sent[1])
 	}
 	if sent[0] > 200 {
-		t.Errorf("%d requests of the tenant over its quota are sent in 4 s, at 20 a second", sent[0])
+		t.Errorf("%d requests sent in 4 s for the tenant over its quota of 20 per second, want at most 200",
+			sent[0])
 	}
 }
 
-// feedRounds feeds that many rounds of samples that are all slow, or all fast.
+// feedRounds feeds the given number of rounds of samples that are all slow or all fast.
 func feedRounds(b *Balancer, from Microseconds, rounds int, slow bool) {
 	for i := range rounds * minRoundSamples {
 		now := from + Microseconds(i)
@@ -168,17 +172,17 @@
 	s := testSettings()
 	s.Tenants = []Tenant{{QuotaFraction: 1, RateQuota: 20}}
 	b, h := newWithEndpoints(t, s, 8)
-	for i := range 32 { // a second's requests at 1.6 times the quota
+	for i := range 32 { // one second of requests at 1.6 times the quota
 		now, id := testStart+Microseconds(i)*second/32, fmt.Sprint(i)
 		sendRequest(b, h, now, id, idempotentClass)
 		succeed(b, h, now, id, 1000)
 	}
 	if n := len(h.sends); n != 32 {
-		t.Errorf("%d of 32 are sent at a fresh replica", n)
+		t.Errorf("new replica sent %d of 32 requests, want all", n)
 	}
 	for i := 0; b.quotas.multiplier > 1; i++ {
 		if i == 10*minRoundSamples {
-			t.Fatalf("the multiplier is still %v", b.quotas.multiplier)
+			t.Fatalf("the multiplier is still %v after many slow calls", b.quotas.multiplier)
 		}
 		now := testStart + 2*second + Microseconds(i)
 		a := &attempt{class: &b.settings.Classes[0], sentAt: now}
@@ -200,7 +204,7 @@
 	}
 }
 
-// Failures beside calls that are as fast as without load are no evidence of load.
+// Failures must not count as overload while other calls are as fast as without load.
 func TestQuotaMultiplierIsNotCutByFaults(t *testing.T) {
 	b, _ := newWithEndpoints(t, testSettings(), 8)
 	feed := func(from Microseconds, fast bool) {
@@ -212,16 +216,17 @@
 	}
 	feed(testStart, true)
 	if b.quotas.multiplier != overloadQuotaMultiplier {
-		t.Errorf("failures beside fast calls: %v, want %v", b.quotas.multiplier, overloadQuotaMultiplier)
+		t.Errorf("multiplier %v after failures with fast calls in between, want %v",
+			b.quotas.multiplier, overloadQuotaMultiplier)
 	}
 	feed(testStart+second, false)
 	if b.quotas.multiplier > 0.5 {
-		t.Errorf("slow calls: %v, want 0.5 or less", b.quotas.multiplier)
+		t.Errorf("multiplier %v after slow calls, want 0.5 or less", b.quotas.multiplier)
 	}
 }
 
 func TestQuotaMultiplierFollowsSignal(t *testing.T) {
-	signals := map[string]sample{ // a round of them gives the signal
+	signals := map[string]sample{ // by the signal that a round of this sample gives
 		"healthy":    {testStart, false, fastResponse},
 		"faulty":     {testStart, true, fastResponse},
 		"overloaded": {testStart, true, slowResponse},
@@ -261,7 +266,8 @@
 	})
 }
 
-// While nothing is slow a tenant may have its part of what this replica gets, which may be more than of its quotas.
+// While calls are not slow, a tenant may use its fraction of the requests at this replica, which may exceed
+// its quota.
 func TestBurstAllowanceFollowsArrivalsUnlessSlow(t *testing.T) {
 	for _, c := range []struct {
 		multiplier float64
@@ -274,7 +280,7 @@
 			b, _ := newWithEndpoints(t, s, 4)
 			b.quotas.multiplier = c.multiplier
 			now := testStart
-			for i := range 200 { // ten times the quotas, from both tenants alike
+			for i := range 200 { // ten times the quotas, the same from both tenants
 				now += second / 6
 				b.quotas.recordArrival(now, i%2)
 			}
@@ -285,17 +291,17 @@
 	}
 }
 
-func TestTenantQuotaCountsNoLongerThanReplicaRuns(t *testing.T) {
+func TestTenantQuotaLimitsWindowToReplicaAge(t *testing.T) {
 	const rate = 10
 	var quota tenantQuota
 	for range 15 {
 		quota.admitted.add(testStart)
 	}
-	// After 1.5 s the window is 2 s long, but only 15 requests are within the rate.
+	// After 1.5 s the window is 2 s long, but the rate allows only 15 requests.
 	if now := testStart + 3*second/2; quota.admits(now, testStart, rate, 0, 0) {
-		t.Error("admits a 16th request after 1.5 s at 10 a second")
+		t.Error("quota admits a 16th request after 1.5 s at 10 per second")
 	}
 	if now := testStart + 8*second/5; !quota.admits(now, testStart, rate, 0, 0) {
-		t.Error("rejects a 16th request after 1.6 s at 10 a second")
+		t.Error("quota rejects a 16th request after 1.6 s at 10 per second")
 	}
 }
--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// reportViolations reports the first few violations of a sequence.
+// reportViolations reports the first few rule violations of a sequence.
 func reportViolations(t *testing.T, violations []string) {
 	t.Helper()
 	for _, violation := range violations[:min(3, len(violations))] {
@@ -30,18 +30,18 @@
 	}
 	for _, kind := range []string{"send", "reject", "fail"} {
 		if counts[kind] < 1000 {
-			t.Errorf("only %d of action %q: the sequences test too little", counts[kind], kind)
+			t.Errorf("only %d actions %q: the sequences test too little", counts[kind], kind)
 		}
 	}
 }
 
-func TestBalancerRepeatsActionsForSameEvents(t *testing.T) {
+func TestBalancerIsDeterministic(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			first, _ := runRandomEvents(t, seed, 3000, nil)
 			again, _ := runRandomEvents(t, seed, 3000, nil)
 			if !slices.Equal(first, again) {
-				t.Error("two runs differ")
+				t.Error("two runs with the same seed differ")
 			}
 		})
 	}
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// A client that is rejected comes again, at the latest when Retry-After is over: by then endpoints must still drop
-// repeats of an attempt that may have run.
-func TestHandleOutcomeRejectsOnlyWhileRepeatsAreDropped(t *testing.T) {
+// A rejected client retries by the time given in Retry-After at the latest. If an attempt may have run,
+// endpoints must still deduplicate the request then.
+func TestHandleOutcomeRejectsOnlyWhileRepeatsAreDeduplicated(t *testing.T) {
 	for _, c := range []struct {
 		class         int
 		status        Status
@@ -19,7 +19,7 @@
 		{idempotentClass, Error, 900_000, 2_000_000, "reject r"},
 		{keyedByTierClass, Error, 1000, 0, "reject r"},
 		{keyedByTierClass, Error, 1000, 200_000, "reject r"},
-		{keyedByTierClass, Error, 1000, 2_000_000, "reject r"}, // half of the objective counts
+		{keyedByTierClass, Error, 1000, 2_000_000, "reject r"}, // half of the objective is the bound
 		{keyedByTierClass, Error, 100_000, 200_000, "fail r"},
 		{keyedByTierClass, Error, 100_000, 100_000, "reject r"},
 		{keyedByTierClass, Reset, 285_000, 0, "fail r"},
@@ -66,7 +66,7 @@
 		{notIdempotentClass, TimedOut, 1000, fail},
 		{notIdempotentClass, Reset, 1000, fail},
 		{keyedByTierClass, Error, 1000, retryAnywhere},
-		{keyedByTierClass, Error, 300_000, fail}, // the client would come again after the window
+		{keyedByTierClass, Error, 300_000, fail}, // the client would retry after the dedup window
 		{keyedByZoneClass, Error, 1000, retryInZone},
 		{keyedByZoneClass, Error, 300_000, fail},
 	} {
@@ -85,33 +85,34 @@
 			}
 			first, second := b.endpoints.byID[h.sends[0].endpoint], b.endpoints.byID[h.sends[1].endpoint]
 			if c.want == retryInCell && first.Cell != second.Cell || c.want == retryInZone && first.Zone != second.Zone {
-				t.Errorf("retried from %v at %v, want to %s", first.Endpoint, second.Endpoint, c.want)
+				t.Errorf("first attempt at %v, retry at %v, want: %s",
+					first.Endpoint, second.Endpoint, c.want)
 			}
 		})
 	}
 }
 
-func TestHandleOutcomeTakesRejectedAsMayHaveRunWhereSet(t *testing.T) {
+func TestHandleOutcomeTreatsRejectedAsPossiblyRunIfConfigured(t *testing.T) {
 	s := testSettings()
 	s.RejectedMayRun = true
 	b, h := newWithEndpoints(t, s, 8)
 	sendRequest(b, h, testStart, "unsafe", notIdempotentClass)
 	b.HandleOutcome(testStart+1000, h, Outcome{ID: "unsafe", Status: Rejected, Latency: 1000})
 	if len(h.sends) != 1 || h.last() != "fail unsafe" {
-		t.Errorf("a rejected request that is not idempotent: %q, want a failure", h.actions)
+		t.Errorf("request that is not idempotent, rejected by its endpoint: %q, want a failure", h.actions)
 	}
 	sendRequest(b, h, testStart+2000, "keyed", keyedByCellClass)
 	b.HandleOutcome(testStart+3000, h, Outcome{ID: "keyed", Status: Rejected, Latency: 1000})
 	if len(h.sends) != 3 {
-		t.Fatalf("a rejected request with a key: %q, want a retry", h.actions)
+		t.Fatalf("request with a key, rejected by its endpoint: %q, want a retry", h.actions)
 	}
 	first, second := b.endpoints.byID[h.sends[1].endpoint], b.endpoints.byID[h.sends[2].endpoint]
 	if first.Cell != second.Cell {
-		t.Errorf("a rejected request with a key left its cell: %q", h.actions)
+		t.Errorf("request with a key retried in another cell: %q", h.actions)
 	}
 }
 
-// Without retries the times of requests must not be kept for ever.
+// Even if there are no retries, the times of requests must not be kept forever.
 func TestRetryBudgetForgetsOldRequests(t *testing.T) {
 	b, h := newWithEndpoints(t, testSettings(), 4)
 	for i := range Microseconds(1000) {
@@ -120,11 +121,11 @@
 		succeed(b, h, now, id, 1000)
 	}
 	if most := int(defaultRetryBudgetWindow/second) + 1; len(b.retries.requests) > most {
-		t.Errorf("%d times of requests are kept, want at most %d", len(b.retries.requests), most)
+		t.Errorf("times of %d requests are kept, want at most %d", len(b.retries.requests), most)
 	}
 }
 
-// A long calm must not save up an allowance for the time when everything fails.
+// A long time without failures must not accumulate a retry allowance for a time when everything fails.
 func TestRetryBudgetHoldsInAnyWindow(t *testing.T) {
 	s := testSettings()
 	s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = 5*second, 3, 0.05
@@ -147,7 +148,7 @@
 		}
 		made, taken := retries.countSince(now-5*second), requests.countSince(now-5*second+1)
 		if made > 3+0.05*taken {
-			t.Fatalf("at %d: %v retries for %v requests", now-testStart, made, taken)
+			t.Fatalf("at %d: %v retries for %v requests within the window", now-testStart, made, taken)
 		}
 	}
 	if len(retries) == 0 {
@@ -155,7 +156,7 @@
 	}
 }
 
-func TestRetryKeepsDefaultBudget(t *testing.T) {
+func TestRetryStaysWithinDefaultBudget(t *testing.T) {
 	b, h := newWithEndpoints(t, testSettings(), 4)
 	b.tierLimit.floor, b.tierLimit.max = 1e9, 1e9
 	const requests = 400
@@ -178,7 +179,7 @@
 	}
 }
 
-// A client that heeds Retry-After must still be able to get a timely answer.
+// A client that retries after Retry-After must still be able to get an answer in time.
 func TestRejectKeepsRetryAfterWithinHalfTheObjective(t *testing.T) {
 	s := testSettings()
 	s.MaxRetryAfter = 2 * second
@@ -188,7 +189,7 @@
 	}
 	most := s.Classes[idempotentClass].LatencyObjective / 2
 	if len(h.retryAfters) != 100 || slices.Min(h.retryAfters) < most/2 || slices.Max(h.retryAfters) > most {
-		t.Errorf("Retry-After %v, want 100 from %d to %d", h.retryAfters, most/2, most)
+		t.Errorf("Retry-After %v, want 100 values from %d to %d", h.retryAfters, most/2, most)
 	}
 }
 
@@ -203,7 +204,7 @@
 		return len(h.sends) - before
 	}
 	if retries(testStart, "a") != 1 || retries(testStart+2*second, "b") != 1 {
-		t.Fatal("no retry within the budget of one a second")
+		t.Fatal("no retry within the budget of one per second")
 	}
 	s.RetryBudgetWindow = 30 * second
 	mustReconfigure(t, b, s)
@@ -215,7 +216,7 @@
 	}
 }
 
-// A retry at the far edge of the window counts, a request there does not.
+// A retry exactly at the start of the window counts, a request there does not.
 func TestRetryBudgetIsExactAtEdgeOfWindow(t *testing.T) {
 	s := &Settings{RetryBudgetWindow: 5 * second, RetryBudgetMin: 1, RetryBudgetRatio: 1}
 	for _, c := range []struct {
@@ -241,7 +242,7 @@
 	for i := range 50 {
 		b, h := newWithEndpoints(t, testSettings(), 2)
 		id := fmt.Sprint(i)
-		countSends(b, testStart, i) // so that draws differ
+		countSends(b, testStart, i) // so that random selections differ
 		sendRequest(b, h, testStart+second, id, idempotentClass)
 		b.HandleOutcome(testStart+second+1000, h, Outcome{ID: id, Status: Rejected, Latency: 1000})
 		if len(h.sends) != 2 || h.sends[0].endpoint == h.sends[1].endpoint {
--- a/balancer/rules_checker_test.go
+++ b/balancer/rules_checker_test.go
@@ -2,22 +2,22 @@
 
 import "fmt"
 
-// rulesChecker is a Host that checks what a Balancer does against the protocol's rules. It keeps records of its own,
-// which share nothing with the Balancer.
+// rulesChecker is a Host that checks the actions of a Balancer against the rules of the protocol. It keeps
+// its own records, which share nothing with the Balancer.
 type rulesChecker struct {
 	settings      Settings
 	now           Microseconds
 	actions       []string
 	requests      map[string]*trackedRequest
-	listed        map[string]Endpoint     // as last updated
+	listed        map[string]Endpoint     // latest entry of each endpoint
 	notReadySince map[string]Microseconds // when an endpoint was first listed as draining or removed
 	violations    []string
 	timers        []pendingTimer
 	subscriptions int
 	requestTimes  []Microseconds               // when requests arrived
 	retryTimes    []Microseconds               // when retries were sent
-	queues        map[string][]*trackedRequest // by key: requests that must keep their order, as they arrived
-	cooldownUntil map[string]Microseconds      // by key: when an attempt that may still run has ended
+	queues        map[string][]*trackedRequest // by key: ordered requests, in order of arrival
+	cooldownUntil map[string]Microseconds      // by key: end of the cooldown
 }
 
 // pendingTimer is a timer that the Balancer has set.
@@ -26,16 +26,16 @@
 	token string
 }
 
-// trackedRequest is what the checker knows of a request.
+// trackedRequest is the record of a request.
 type trackedRequest struct {
 	request  Request
 	class    Class // as it was when the request arrived
-	closed   bool  // it has its final answer, or its client has cancelled
+	closed   bool  // it has its final answer, or its client has cancelled it
 	attempts []*trackedAttempt
-	pending  []int // attempts without outcome
+	pending  []int // numbers of the attempts without an outcome
 }
 
-// trackedAttempt is what the checker knows of an attempt.
+// trackedAttempt is the record of an attempt.
 type trackedAttempt struct {
 	endpoint   Endpoint
 	sentAt     Microseconds
@@ -45,10 +45,10 @@
 	mayHaveRun bool // nothing proves that it never ran
 }
 
-// timesOutAt is when the attempt is given up.
+// timesOutAt returns the time at which the attempt times out.
 func (a *trackedAttempt) timesOutAt() Microseconds { return a.sentAt + a.timeout }
 
-// addViolation records that a rule was broken.
+// addViolation records a violation of a rule.
 func (c *rulesChecker) addViolation(format string, a ...any) {
 	c.violations = append(c.violations, fmt.Sprintf("at %d: ", c.now-testStart)+fmt.Sprintf(format, a...))
 }
@@ -57,16 +57,16 @@
 	c.actions = append(c.actions, fmt.Sprintf("%d send %s %s %d", c.now, id, endpoint, timeout))
 	req := c.requests[id]
 	if req == nil || req.closed {
-		c.addViolation("rule 1: %s sent after its end", id)
+		c.addViolation("rule 1: %s sent after it had ended", id)
 		return
 	}
 	listed, known := c.listed[endpoint]
 	if !known {
-		c.addViolation("%s sent to unknown %s", id, endpoint)
+		c.addViolation("%s sent to unknown endpoint %s", id, endpoint)
 		return
 	}
 	if since, ok := c.notReadySince[endpoint]; ok && c.now-since > c.settings.DrainGrace {
-		c.addViolation("rule 3: %s sent to %s, which is not ready since %d us", id, endpoint, c.now-since)
+		c.addViolation("rule 3: %s sent to %s, which has not been ready for %d us", id, endpoint, c.now-since)
 	}
 	if len(req.attempts) >= c.settings.MaxAttempts {
 		c.addViolation("%s sent more than %d times", id, c.settings.MaxAttempts)
@@ -79,7 +79,8 @@
 	}
 	c.checkOrder(req)
 	if timeout < 0 || c.now+timeout > req.request.Deadline {
-		c.addViolation("rule 1: %s may run %d us past its deadline", id, c.now+timeout-req.request.Deadline)
+		c.addViolation("rule 1: timeout of %s is %d us after its deadline",
+			id, c.now+timeout-req.request.Deadline)
 	}
 	if timeout == 0 {
 		timeout = req.request.Deadline - c.now
@@ -102,11 +103,11 @@
 	}
 	most := c.settings.RetryBudgetMin + c.settings.RetryBudgetRatio*within(c.requestTimes)
 	if c.settings.RetryBudgetWindow > 0 && within(c.retryTimes) > most {
-		c.addViolation("rule 6: %s sent beyond the retry budget", id)
+		c.addViolation("rule 6: retry of %s exceeds the retry budget", id)
 	}
 }
 
-// checkOrder checks a request that must keep its key's order.
+// checkOrder checks the order of requests with the same key.
 func (c *rulesChecker) checkOrder(req *trackedRequest) {
 	if !req.class.OrderedByKey || req.request.Key == "" {
 		return
@@ -120,7 +121,8 @@
 		}
 	}
 	if until := c.cooldownUntil[req.request.Key]; len(req.attempts) == 0 && c.now < until {
-		c.addViolation("rule 5: %s sent %d us before the end of its key's cooldown", req.request.ID, until-c.now)
+		c.addViolation("rule 5: %s sent %d us before the end of the cooldown of its key",
+			req.request.ID, until-c.now)
 	}
 }
 
@@ -133,13 +135,16 @@
 	if !earlier.mayHaveRun || class.Idempotency == Idempotent {
 		return
 	}
-	sameScope := class.DedupScope == DedupTier || class.DedupScope == DedupZone && earlier.endpoint.Zone == to.Zone ||
+	inDedupScope := class.DedupScope == DedupTier ||
+		class.DedupScope == DedupZone && earlier.endpoint.Zone == to.Zone ||
 		class.DedupScope == DedupCell && earlier.endpoint.Cell == to.Cell
-	if class.Idempotency == NotIdempotent || !sameScope || c.now-earlier.sentAt > class.DedupWindow {
-		c.addViolation("rule 2: %s of class %d sent again after it may have run", req.request.ID, req.request.Class)
+	if class.Idempotency == NotIdempotent || !inDedupScope || c.now-earlier.sentAt > class.DedupWindow {
+		c.addViolation("rule 2: %s of class %d retried although an attempt may have run",
+			req.request.ID, req.request.Class)
 	}
 	if end := earlier.sentAt + class.DedupWindow; dedupDeadline == 0 || dedupDeadline > end {
-		c.addViolation("rule 2: %s may be sent again until %d, its dedup window ends at %d", req.request.ID, dedupDeadline, end)
+		c.addViolation("rule 2: %s may be retried until %d, but its dedup window ends at %d",
+			req.request.ID, dedupDeadline, end)
 	}
 }
 
@@ -150,13 +155,13 @@
 		return
 	}
 	class := req.class
-	droppedByTier := class.Idempotency == IdempotentWithKey && class.DedupScope == DedupTier
+	dedupedByTier := class.Idempotency == IdempotentWithKey && class.DedupScope == DedupTier
 	for _, a := range req.attempts {
-		if a.mayHaveRun && class.Idempotency != Idempotent && !droppedByTier {
-			c.addViolation("rule 2: %s rejected after it may have run", id)
+		if a.mayHaveRun && class.Idempotency != Idempotent && !dedupedByTier {
+			c.addViolation("rule 2: %s rejected although an attempt may have run", id)
 		}
 		if a.mayHaveRun && class.Idempotency == IdempotentWithKey && c.now+retryAfter >= a.sentAt+class.DedupWindow {
-			c.addViolation("rule 2: %s rejected until after its dedup window", id)
+			c.addViolation("rule 2: %s rejected with a Retry-After past its dedup window", id)
 		}
 	}
 }
@@ -166,7 +171,7 @@
 	c.close(id)
 }
 
-// close records a request's final answer; it returns nil for a request that has had one.
+// close records the final answer of a request. It returns nil if the request already has one.
 func (c *rulesChecker) close(id string) *trackedRequest {
 	req := c.requests[id]
 	if req == nil || req.closed {
--- a/balancer/streaming_test.go
+++ b/balancer/streaming_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// checkInFlight checks the calls in flight of the tier and of the first class.
+// checkInFlight checks the number of calls in flight of the tier and of the first class.
 func checkInFlight(t *testing.T, b *Balancer, want int) {
 	t.Helper()
 	if tier, class := b.tierLimit.inFlight, b.classes[0].limit.inFlight; tier != want || class != want {
@@ -13,8 +13,8 @@
 	}
 }
 
-// An endpoint cannot begin before the last byte: until then a streamed request is not in flight, and what its client
-// takes to write it does not count as latency.
+// An endpoint cannot start before it has the last byte. Until then a streamed request is not in flight, and
+// the time that the client takes to write it does not count as latency.
 func TestRequestUploadedBeginsCallInFlight(t *testing.T) {
 	b, h := newWithEndpoints(t, testSettings(), 2)
 	b.HandleRequest(testStart, h, Request{ID: "r", Deadline: testStart + second, Streaming: true})
@@ -22,26 +22,28 @@
 		t.Fatalf("%d sends, want 1", len(h.sends))
 	}
 	checkInFlight(t, b, 0)
-	late := testStart + 10*second
-	sendRequest(b, h, late, "other", idempotentClass) // marks slow attempts
+	uploaded := testStart + 10*second
+	sendRequest(b, h, uploaded, "other", idempotentClass) // counts slow attempts
 	if b.quotas.evidence.bad != 0 {
-		t.Error("the upload counts as slow")
+		t.Error("the upload was counted as slow")
 	}
-	b.RequestUploaded(late, "r", late+second)
-	b.RequestUploaded(late, "r", late+second)
-	b.RequestUploaded(late, "unknown", late)
+	b.RequestUploaded(uploaded, "r", uploaded+second)
+	b.RequestUploaded(uploaded, "r", uploaded+second)
+	b.RequestUploaded(uploaded, "unknown", uploaded)
 	checkInFlight(t, b, 2)
-	succeed(b, h, late+1000, "r", 1000)
+	succeed(b, h, uploaded+1000, "r", 1000)
 	checkInFlight(t, b, 1)
 	if b.tierLimit.evidence.bad != 0 || b.requests["r"] != nil {
-		t.Errorf("after the answer: %d late, request kept: %v", b.tierLimit.evidence.bad, b.requests["r"] != nil)
+		t.Errorf("after the response: %d late calls, request kept: %v",
+			b.tierLimit.evidence.bad, b.requests["r"] != nil)
 	}
-	b.HandleRequest(late, h, Request{ID: "s", Deadline: late + second, Streaming: true})
-	b.HandleOutcome(late+1000, h, Outcome{ID: "s", Status: NotAttempted, RequestDone: true})
-	checkInFlight(t, b, 1) // an upload that broke off was none
+	b.HandleRequest(uploaded, h, Request{ID: "s", Deadline: uploaded + second, Streaming: true})
+	b.HandleOutcome(uploaded+1000, h, Outcome{ID: "s", Status: NotAttempted, RequestDone: true})
+	checkInFlight(t, b, 1) // an interrupted upload was never in flight
 }
 
-// A request that cannot be sent again is rejected where nothing has run or its class allows it, and fails otherwise.
+// A request that cannot be sent again is rejected if nothing has run or its class is idempotent, and fails
+// otherwise.
 func TestHandleOutcomeDoesNotRetryConsumedBody(t *testing.T) {
 	for _, c := range []struct {
 		class  int
--- a/balancer/timeline_test.go
+++ b/balancer/timeline_test.go
@@ -19,7 +19,7 @@
 	l := timeline{10, 20, 20, 30}
 	for from, want := range map[Microseconds]float64{0: 4, 10: 4, 11: 3, 20: 3, 21: 1, 31: 0} {
 		if got := l.countSince(from); got != want {
-			t.Errorf("since(%d) is %v, want %v", from, got, want)
+			t.Errorf("countSince(%d) is %v, want %v", from, got, want)
 		}
 	}
 }
