--- a/balancer/feedback.go
+++ b/balancer/feedback.go
@@ -3,8 +3,8 @@
 const (
 	lateFraction          = 0.8 // of the latency objective: slower calls count against tier and class limits
 	slowFraction          = 0.6 // of the latency objective: slower calls lower quotas before they are late
-	unloadedSlowFactor    = 1.6 // of the latency without load: slower calls lower the quotas too
-	minUnloadedMultiplier = 0.8 // but only above this multiplier: below it, load is not what makes calls slow
+	unloadedSlowFactor    = 1.6 // times the latency without load: slower calls lower the quotas too
+	minUnloadedMultiplier = 0.8 // but only above this multiplier: otherwise load is not what makes calls slow
 	preemptionRatio       = 1.5 // a class preempts classes whose priority is lower by more than this factor
 )
 
--- a/balancer/quota.go
+++ b/balancer/quota.go
@@ -125,7 +125,7 @@
 		}
 		quota.fraction = s.Tenants[i].QuotaFraction
 		quotas = append(quotas, quota)
-		// Replicas get equal shares; one that carries more than its share learns a higher multiplier.
+		// Replicas get equal shares; the multiplier adapts if one carries more than its share.
 		q.fairRate += s.Tenants[i].RateQuota / float64(s.Replicas)
 	}
 	q.tenants = quotas
