--- a/cmd/simadapter/actions.go
+++ b/cmd/simadapter/actions.go
@@ -58,11 +58,11 @@
 	encoder  *json.Encoder
 }
 
-// write writes one action. The buffer below keeps a write error and returns it from its next Flush.
+// write writes one action. The underlying bufio.Writer keeps a write error and returns it from its next Flush.
 func (w *actionWriter) write(action wireAction) { _ = w.encoder.Encode(action) }
 
-// Send writes an attempt. The simulator delivers an attempt at once, so the time until which its last byte
-// has to reach the endpoint does not matter.
+// Send writes an attempt. The simulator delivers an attempt immediately, so the deadline by which its last
+// byte must reach the endpoint is not needed.
 func (w *actionWriter) Send(id, endpoint string, timeout, _ balancer.Microseconds) {
 	w.write(wireAction{Send: &wireSend{Instance: w.instance, RequestID: id, Timeout: timeout, Endpoint: endpoint}})
 }
@@ -77,12 +77,12 @@
 	w.write(wireAction{Fail: &wireFail{Instance: w.instance, RequestID: id}})
 }
 
-// SetTimer writes a timer.
+// SetTimer writes the request for a timer.
 func (w *actionWriter) SetTimer(delay balancer.Microseconds, token string) {
 	w.write(wireAction{SetTimer: &wireSetTimer{Instance: w.instance, Delay: delay, Token: token}})
 }
 
-// Subscribe writes the start of a subscription to the endpoint list.
+// Subscribe writes the request to subscribe to the endpoint list.
 func (w *actionWriter) Subscribe() {
 	w.write(wireAction{Subscribe: &wireSubscribe{Instance: w.instance, Enable: true}})
 }
--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -10,17 +10,18 @@
 	"baylock/internal/settings"
 )
 
-// endpointListCount is how many numbers of endpoint lists there are; each is used again and again.
+// endpointListCount is the number of endpoint lists that are stored at a time. The simulator reuses
+// their numbers.
 const endpointListCount = 16
 
-// adapter hands the events of one process to the balancers of its instances.
+// adapter passes the simulator's events to the balancers of the simulated proxies.
 type adapter struct {
-	now           balancer.Microseconds // of the batch
+	now           balancer.Microseconds // time of the current batch
 	inBatch       bool
 	instances     map[string]*instance
-	endpointLists [endpointListCount][]balancer.Endpoint // nil: not received yet
+	endpointLists [endpointListCount][]balancer.Endpoint // by number; nil if not received yet
 	writer        *bufio.Writer
-	encoder       *json.Encoder // to writer
+	encoder       *json.Encoder // writes to writer
 }
 
 // instance is one simulated proxy.
@@ -44,7 +45,7 @@
 	return nil
 }
 
-// endBatch ends the batch's reply and flushes it.
+// endBatch writes the end of the reply to a batch and flushes the output.
 func (a *adapter) endBatch() error {
 	a.inBatch = false
 	if err := a.encoder.Encode(wireAction{BatchDone: &struct{}{}}); err != nil {
@@ -89,15 +90,15 @@
 }
 
 func (a *adapter) stopInstance(stop *wireInstance) error {
-	if _, err := a.find(stop.Instance); err != nil {
+	if _, err := a.findInstance(stop.Instance); err != nil {
 		return err
 	}
 	delete(a.instances, *stop.Instance)
 	return nil
 }
 
-// find returns the instance with the given name.
-func (a *adapter) find(name *string) (*instance, error) {
+// findInstance returns the instance with the given name.
+func (a *adapter) findInstance(name *string) (*instance, error) {
 	if name == nil {
 		return nil, missingFieldError{"who"}
 	}
@@ -108,14 +109,14 @@
 	return found, nil
 }
 
-// ignore checks the instance of an event that the balancer has no use for.
+// ignore checks the instance of an event that the balancer does not handle.
 func (a *adapter) ignore(event *wireInstance) error {
-	_, err := a.find(event.Instance)
+	_, err := a.findInstance(event.Instance)
 	return err
 }
 
 func (a *adapter) updateEndpoints(update *wireEndpointsUpdate) error {
-	found, err := a.find(update.Instance)
+	found, err := a.findInstance(update.Instance)
 	if err != nil {
 		return err
 	}
@@ -145,7 +146,7 @@
 }
 
 func (a *adapter) handleRequest(event *wireRequest) error {
-	found, err := a.find(event.Instance)
+	found, err := a.findInstance(event.Instance)
 	if err != nil {
 		return err
 	}
@@ -158,7 +159,7 @@
 }
 
 func (a *adapter) handleOutcome(event *wireOutcome) error {
-	found, err := a.find(event.Instance)
+	found, err := a.findInstance(event.Instance)
 	if err != nil {
 		return err
 	}
@@ -172,7 +173,7 @@
 
 // startResponse handles the start of a streamed response.
 func (a *adapter) startResponse(event *wireRequestID) error {
-	found, err := a.find(event.Instance)
+	found, err := a.findInstance(event.Instance)
 	if err != nil {
 		return err
 	}
@@ -184,7 +185,7 @@
 }
 
 func (a *adapter) cancelRequest(event *wireRequestID) error {
-	found, err := a.find(event.Instance)
+	found, err := a.findInstance(event.Instance)
 	if err != nil {
 		return err
 	}
@@ -196,7 +197,7 @@
 }
 
 func (a *adapter) fireTimer(event *wireTimer) error {
-	found, err := a.find(event.Instance)
+	found, err := a.findInstance(event.Instance)
 	if err != nil {
 		return err
 	}
--- a/cmd/simadapter/errors.go
+++ b/cmd/simadapter/errors.go
@@ -7,22 +7,22 @@
 )
 
 var (
-	errOutsideBatch    = errors.New("an event outside a batch")
-	errIncompleteBatch = errors.New("the input ends inside a batch")
+	errOutsideBatch    = errors.New("event outside a batch")
+	errIncompleteBatch = errors.New("input ends inside a batch")
 	errUnknownEvent    = errors.New("unknown event")
 )
 
-// eventError reports what is wrong with an event.
+// eventError is an error in an event or in its handling.
 type eventError struct {
-	event string // its name on the wire
+	event string // the event's name in the input
 	err   error
 }
 
 func (e *eventError) Error() string { return e.event + ": " + e.err.Error() }
 func (e *eventError) Unwrap() error { return e.err }
 
-// inEvent adds the event's name to an error; no error stays none.
-func inEvent(event string, err error) error {
+// wrapEventError adds the event's name to an error. It returns nil if err is nil.
+func wrapEventError(event string, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -40,7 +40,7 @@
 	return strings.Join(e[:last], ", ") + " or " + e[last] + " is missing"
 }
 
-// unknownValueError reports a field with a value that the wire does not define.
+// unknownValueError reports a field with a value that the simulator's protocol does not define.
 type unknownValueError struct {
 	field string
 	value int
--- a/cmd/simadapter/events.go
+++ b/cmd/simadapter/events.go
@@ -8,7 +8,7 @@
 )
 
 // wireEvent is one line of input: an object with a single key, the event's name. Fields that an event must
-// have are pointers. Times and durations are in microseconds.
+// have are pointers, so that a missing one is detected. Times and durations are in microseconds.
 type wireEvent struct {
 	BatchStart       *wireBatchStart      `json:"mark"`
 	BatchEnd         *struct{}            `json:"your_turn"`
@@ -22,10 +22,10 @@
 	RequestCancelled *wireRequestID       `json:"withdrawn"`
 	TimerFired       *wireTimer           `json:"tick_due"`
 	HealthChecked    *wireInstance        `json:"probe_done"` // the balancer sends no health checks
-	PeerMessage      *wireInstance        `json:"message"`    // nor messages to its replicas
+	PeerMessage      *wireInstance        `json:"message"`    // nor messages to other replicas
 }
 
-// The events' names, as errors give them.
+// The names of the events, for errors.
 const (
 	eventBatchStart       = "mark"
 	eventEndpointList     = "ledger"
@@ -41,30 +41,30 @@
 	eventPeerMessage      = "message"
 )
 
-// wireBatchStart begins a batch; all of its events happen at its time.
+// wireBatchStart begins a batch. All events of the batch happen at this time.
 type wireBatchStart struct {
 	Time *balancer.Microseconds `json:"time_us"`
 }
 
-// wireInstance is an event of which only the instance matters.
+// wireInstance is an event of which only the instance is used.
 type wireInstance struct {
 	Instance *string `json:"who"`
 }
 
-// wireRequestID is an event of which only the request matters.
+// wireRequestID is an event of which only the instance and the request ID are used.
 type wireRequestID struct {
 	Instance  *string `json:"who"`
 	RequestID *string `json:"ticket"`
 }
 
-// wireInstanceStarted starts an instance without state.
+// wireInstanceStarted starts an instance, which has no state yet.
 type wireInstanceStarted struct {
 	Instance *string         `json:"who"`
 	Seed     *uint64         `json:"salt"`
 	Settings json.RawMessage `json:"options"`
 }
 
-// wireEndpointList is a numbered list of endpoints for later updates.
+// wireEndpointList is a numbered list of endpoints, to which later updates refer.
 type wireEndpointList struct {
 	Number    *int            `json:"roster_id"`
 	Endpoints *[]wireEndpoint `json:"elements"`
@@ -79,7 +79,7 @@
 	StartedAt balancer.Microseconds `json:"launched_us"`
 }
 
-// wireEndpointsUpdate gives an instance an update of its endpoints.
+// wireEndpointsUpdate updates the endpoints of an instance from a numbered list.
 type wireEndpointsUpdate struct {
 	Instance   *string `json:"who"`
 	Kind       *int    `json:"how"`
@@ -132,7 +132,7 @@
 	codeReset:         balancer.Reset,
 }
 
-// updateKinds are the kinds of an endpoints update, by their number on the wire.
+// updateKinds are the kinds of an endpoints update, by their number in the input.
 var updateKinds = [...]balancer.UpdateKind{
 	0: balancer.IncrementalUpdate,
 	1: balancer.FullUpdate,
@@ -140,17 +140,17 @@
 	3: balancer.FailedUpdate,
 }
 
-// endpointStates are the states of an endpoint, by their number on the wire.
+// endpointStates are the states of an endpoint, by their number in the input.
 var endpointStates = [...]balancer.EndpointState{
 	0: balancer.Removed,
 	1: balancer.Ready,
 	2: balancer.Draining,
 }
 
-// defaultCapacity is the capacity of an endpoint without a hint.
+// defaultCapacity is the capacity of an endpoint without a capacity hint.
 const defaultCapacity = 1
 
-// endpoints maps the list's endpoints.
+// endpoints converts the endpoints of the list.
 func (l *wireEndpointList) endpoints() ([]balancer.Endpoint, error) {
 	endpoints := make([]balancer.Endpoint, 0, len(*l.Endpoints))
 	for i := range *l.Endpoints {
@@ -184,7 +184,7 @@
 	return endpoint, nil
 }
 
-// kind maps the update's kind.
+// kind converts the kind of the update.
 func (u *wireEndpointsUpdate) kind() (balancer.UpdateKind, error) {
 	if u.Kind == nil {
 		return 0, missingFieldError{"how"}
--- a/cmd/simadapter/serve.go
+++ b/cmd/simadapter/serve.go
@@ -10,11 +10,12 @@
 )
 
 const (
-	bufferBytes   = 1 << 20 // of the input's and of the output's buffer
-	maxErrorBytes = 80      // of an unknown line that an error quotes
+	bufferBytes    = 1 << 20 // size of the input buffer and of the output buffer
+	maxQuotedBytes = 80      // of a line with an unknown event, in an error
 )
 
-// serve answers batches of events until the input ends. It stops at the first line that it cannot read.
+// serve replies to batches of events until the input ends. It returns an error for the first line that
+// it cannot handle.
 func serve(in io.Reader, out io.Writer) error {
 	writer := bufio.NewWriterSize(out, bufferBytes)
 	adapter := newAdapter(writer)
@@ -49,18 +50,18 @@
 	return append(start, rest...), err
 }
 
-// handleLine handles one line of input.
+// handleLine parses one line of input and handles its event.
 func (a *adapter) handleLine(line []byte) error {
 	var event wireEvent
 	if err := json.Unmarshal(line, &event); err != nil {
-		return fmt.Errorf("not an event: %w", err)
+		return fmt.Errorf("invalid event: %w", err)
 	}
 	if event.BatchStart == nil && !a.inBatch {
 		return errOutsideBatch
 	}
 	err := a.handleEvent(&event)
 	if errors.Is(err, errUnknownEvent) {
-		return fmt.Errorf("%w: %.*s", err, maxErrorBytes, line)
+		return fmt.Errorf("%w: %.*s", err, maxQuotedBytes, line)
 	}
 	return err
 }
@@ -69,31 +70,31 @@
 func (a *adapter) handleEvent(event *wireEvent) error {
 	switch {
 	case event.BatchStart != nil:
-		return inEvent(eventBatchStart, a.startBatch(event.BatchStart))
+		return wrapEventError(eventBatchStart, a.startBatch(event.BatchStart))
 	case event.BatchEnd != nil:
 		return a.endBatch()
 	case event.EndpointList != nil:
-		return inEvent(eventEndpointList, a.storeEndpointList(event.EndpointList))
+		return wrapEventError(eventEndpointList, a.storeEndpointList(event.EndpointList))
 	case event.InstanceStarted != nil:
-		return inEvent(eventInstanceStarted, a.startInstance(event.InstanceStarted))
+		return wrapEventError(eventInstanceStarted, a.startInstance(event.InstanceStarted))
 	case event.InstanceStopped != nil:
-		return inEvent(eventInstanceStopped, a.stopInstance(event.InstanceStopped))
+		return wrapEventError(eventInstanceStopped, a.stopInstance(event.InstanceStopped))
 	case event.EndpointsUpdate != nil:
-		return inEvent(eventEndpointsUpdate, a.updateEndpoints(event.EndpointsUpdate))
+		return wrapEventError(eventEndpointsUpdate, a.updateEndpoints(event.EndpointsUpdate))
 	case event.RequestArrived != nil:
-		return inEvent(eventRequestArrived, a.handleRequest(event.RequestArrived))
+		return wrapEventError(eventRequestArrived, a.handleRequest(event.RequestArrived))
 	case event.ResponseStarted != nil:
-		return inEvent(eventResponseStarted, a.startResponse(event.ResponseStarted))
+		return wrapEventError(eventResponseStarted, a.startResponse(event.ResponseStarted))
 	case event.AttemptEnded != nil:
-		return inEvent(eventAttemptEnded, a.handleOutcome(event.AttemptEnded))
+		return wrapEventError(eventAttemptEnded, a.handleOutcome(event.AttemptEnded))
 	case event.RequestCancelled != nil:
-		return inEvent(eventRequestCancelled, a.cancelRequest(event.RequestCancelled))
+		return wrapEventError(eventRequestCancelled, a.cancelRequest(event.RequestCancelled))
 	case event.TimerFired != nil:
-		return inEvent(eventTimerFired, a.fireTimer(event.TimerFired))
+		return wrapEventError(eventTimerFired, a.fireTimer(event.TimerFired))
 	case event.HealthChecked != nil:
-		return inEvent(eventHealthChecked, a.ignore(event.HealthChecked))
+		return wrapEventError(eventHealthChecked, a.ignore(event.HealthChecked))
 	case event.PeerMessage != nil:
-		return inEvent(eventPeerMessage, a.ignore(event.PeerMessage))
+		return wrapEventError(eventPeerMessage, a.ignore(event.PeerMessage))
 	}
 	return errUnknownEvent
 }
--- a/cmd/simadapter/serve_test.go
+++ b/cmd/simadapter/serve_test.go
@@ -120,10 +120,10 @@
 	}
 }
 
-func TestServeInvalidInputGivesNamedError(t *testing.T) {
+func TestServeInvalidInputReturnsDescriptiveError(t *testing.T) {
 	for _, test := range []struct{ name, line, want string }{
-		{"no JSON", `nonsense`, "line 2: not an event"},
-		{"wrong type", `{"job_in":{"who":5}}`, "line 2: not an event"},
+		{"no JSON", `nonsense`, "line 2: invalid event"},
+		{"wrong type", `{"job_in":{"who":5}}`, "line 2: invalid event"},
 		{"unknown event", `{"greeting":{}}`, "line 2: unknown event"},
 		{"no event", `{}`, "line 2: unknown event"},
 		{"null", `null`, "line 2: unknown event"},
@@ -146,8 +146,8 @@
 			"line 2: ledger: elements[0]: backend, dc or state is missing"},
 		{"unknown endpoint state", `{"ledger":{"roster_id":1,"elements":[{"backend":"b","dc":0,"state":3}]}}`,
 			"line 2: ledger: elements[0]: unknown state 3"},
-		{"unknown word in settings", strings.Replace(instanceLine("p"), "deduplicated", "sometimes", 1),
-			`line 2: new_instance: options.profiles[0].repeat: unknown word "sometimes"`},
+		{"unknown value in settings", strings.Replace(instanceLine("p"), "deduplicated", "sometimes", 1),
+			`line 2: new_instance: options.profiles[0].repeat: unknown value "sometimes"`},
 		{"zone out of range", strings.Replace(instanceLine("p"), `"my_zone":1`, `"my_zone":2`, 1),
 			"line 2: new_instance: balancer: Settings.Zone"},
 		{"no seed", strings.Replace(instanceLine("p"), `"salt":7,`, "", 1),
@@ -194,7 +194,7 @@
 	}
 }
 
-// Requests of an ordered class with one key are sent one after the other.
+// Requests of an ordered class that have the same key are sent one after the other.
 func TestServeOrderedKeySendsOneRequestAtATime(t *testing.T) {
 	ordered := strings.Replace(instanceLine("proxy_1"), `"dedup_scope":"cell"`, `"by_arrival":true,"dedup_scope":"cell"`, 1)
 	keyed := func(requestID string) string {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -141,7 +141,7 @@
 	}
 	site, err := settings.Decode(data)
 	if err == nil {
-		err = site.CheckSockets()
+		err = site.ValidateForProxy()
 	}
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -39,7 +39,7 @@
 // NewSnapshot checks all of a configuration but what the balancer checks itself. previous is the snapshot that the new
 // one is to replace, or nil at the start; zones are those of the start.
 func NewSnapshot(cfg Config, zones discovery.Zones, previous *Snapshot) (*Snapshot, error) {
-	if err := cfg.Site.CheckSockets(); err != nil {
+	if err := cfg.Site.ValidateForProxy(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if err := cfg.Limits.check(); err != nil {
--- a/internal/scale/proxy_test.go
+++ b/internal/scale/proxy_test.go
@@ -93,8 +93,8 @@
 		t.Errorf("got %s", data)
 	}
 	site, err := settings.Decode(file.Settings)
-	if err != nil || site.CheckSockets() != nil {
-		t.Fatalf("settings: %v, %v", err, site.CheckSockets())
+	if err != nil || site.ValidateForProxy() != nil {
+		t.Fatalf("settings: %v, %v", err, site.ValidateForProxy())
 	}
 	if len(site.Classes) != 2 || len(site.Tenants) != 2 || len(site.Zones) != 5 || site.Balancer.SubscribeRequired {
 		t.Errorf("settings %+v", site)
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -7,7 +7,7 @@
 
 // The causes of a ValueError.
 var (
-	ErrUnknownWord    = errors.New("unknown word")
+	ErrUnknownValue   = errors.New("unknown value")
 	ErrUnexpectedType = errors.New("unexpected JSON type")
 	ErrNotPositive    = errors.New("non-positive duration")
 	ErrMissingName    = errors.New("missing name")
@@ -21,7 +21,7 @@
 	Err   error  // one of this package's sentinel errors
 }
 
-// Error gives the path, the cause and the value.
+// Error returns the path, the cause and the value.
 func (e *ValueError) Error() string {
 	if text, ok := e.Value.(string); ok {
 		return fmt.Sprintf("%s: %v %q", e.Path, e.Err, text)
@@ -29,5 +29,5 @@
 	return fmt.Sprintf("%s: %v %v", e.Path, e.Err, e.Value)
 }
 
-// Unwrap gives the cause to errors.Is.
+// Unwrap returns the cause, for errors.Is.
 func (e *ValueError) Unwrap() error { return e.Err }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
 // Package settings reads the settings object, which a real proxy gets in its configuration file and a
-// simulated one in its first message. It maps the object's names to the terms of package balancer, and no
-// other package knows them. Keys that it does not know are ignored.
+// simulated one in its first message. It converts the object to the types of package balancer, and no other
+// package depends on the object's keys. Unknown keys are ignored.
 package settings
 
 import (
@@ -12,7 +12,7 @@
 	"baylock/balancer"
 )
 
-// Site is the content of a settings object.
+// Site is a decoded settings object.
 type Site struct {
 	Balancer balancer.Settings
 	Classes  []string // names, in the order of Balancer.Classes
@@ -20,11 +20,11 @@
 	Zones    []string // names; Balancer.Zone is an index into them
 
 	DialTimeout time.Duration // for a new connection to a backend
-	IdleClose   time.Duration // after which a backend closes an idle connection, at the latest
+	IdleClose   time.Duration // backends close an idle connection after this time at the latest
 }
 
-// Decode reads a settings object and checks what the balancer needs of it; CheckSockets checks the rest. A
-// value that cannot be used gives a *ValueError.
+// Decode parses a settings object and validates the settings of the balancer; ValidateForProxy validates
+// the rest. It returns a *ValueError for a value that cannot be used.
 func Decode(data []byte) (*Site, error) {
 	var wire wireSettings
 	if err := json.Unmarshal(data, &wire); err != nil {
@@ -49,7 +49,7 @@
 	return site, nil
 }
 
-// decodeError turns a value of the wrong JSON type into a *ValueError.
+// decodeError returns a *ValueError if err reports a value of the wrong JSON type.
 func decodeError(err error) error {
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) {
@@ -58,9 +58,10 @@
 	return fmt.Errorf("decode settings: %w", err)
 }
 
-// CheckSockets checks what a proxy on real sockets needs beyond the balancer's part: the time limits of its
-// connections, and distinct names of classes and tenants. Its errors are *ValueError.
-func (s *Site) CheckSockets() error {
+// ValidateForProxy validates what a proxy on real sockets needs in addition to the balancer's settings: the
+// timeouts of its connections, and distinct, non-empty names of classes and tenants. Its errors are of type
+// *ValueError.
+func (s *Site) ValidateForProxy() error {
 	if s.DialTimeout <= 0 {
 		return &ValueError{Path: "limits.dial_timeout_us", Value: s.DialTimeout, Err: ErrNotPositive}
 	}
@@ -73,7 +74,7 @@
 	return checkNames("tenants", s.Tenants)
 }
 
-// checkNames checks that the names of the entries of one list are present and distinct.
+// checkNames checks that the entries of one list have distinct, non-empty names.
 func checkNames(list string, names []string) error {
 	seen := make(map[string]bool, len(names))
 	for i, name := range names {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -17,7 +17,7 @@
 	`"objective_us":500000,"repeat":"deduplicated","worth":1.0}],"siblings":3,"stage":0,` +
 	`"tenants":[{"name":"acme","portion":1,"quota_per_s":4}],"tiers":["t"],"weights":"rough"}`
 
-// decode reads the test object with pairs of old and new text replaced in it.
+// decode decodes testObject after it has replaced each old text with the new one that follows it in replacements.
 func decode(t *testing.T, replacements ...string) *Site {
 	t.Helper()
 	site, err := Decode([]byte(strings.NewReplacer(replacements...).Replace(testObject)))
@@ -54,12 +54,12 @@
 	if !reflect.DeepEqual(site, want) {
 		t.Errorf("got  %+v\nwant %+v", site, want)
 	}
-	if err := site.CheckSockets(); err != nil {
+	if err := site.ValidateForProxy(); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestDecodeMapsWords(t *testing.T) {
+func TestDecodeMapsEnumValues(t *testing.T) {
 	subscribeRequired := func(s balancer.Settings) any { return s.SubscribeRequired }
 	capacityHints := func(s balancer.Settings) any { return s.CapacityHints }
 	perWorkUnit := func(s balancer.Settings) any { return s.PriorityPerWorkUnit }
@@ -105,21 +105,21 @@
 		cause    error
 		text     string // the end of the error
 	}{
-		{"unknown membership", `"automatic"`, `"now and then"`, "membership_mode", ErrUnknownWord, `"now and then"`},
-		{"unknown repeat", `"deduplicated"`, `"sometimes"`, "profiles[0].repeat", ErrUnknownWord, `"sometimes"`},
-		{"unknown scope", `"cell"`, `"street"`, "profiles[0].dedup_scope", ErrUnknownWord, `"street"`},
+		{"unknown membership", `"automatic"`, `"now and then"`, "membership_mode", ErrUnknownValue, `"now and then"`},
+		{"unknown repeat", `"deduplicated"`, `"sometimes"`, "profiles[0].repeat", ErrUnknownValue, `"sometimes"`},
+		{"unknown scope", `"cell"`, `"street"`, "profiles[0].dedup_scope", ErrUnknownValue, `"street"`},
 		{"class without name", `"put"`, `""`, "profiles[0].name", ErrMissingName, `""`},
 		{"tenant without name", `"acme"`, `""`, "tenants[0].name", ErrMissingName, `""`},
-		{"tenant named twice", `"tenants":[`, `"tenants":[{"name":"acme"},`, "tenants[1].name", ErrDuplicateName, `"acme"`},
+		{"duplicate tenant name", `"tenants":[`, `"tenants":[{"name":"acme"},`, "tenants[1].name", ErrDuplicateName, `"acme"`},
 		{"no dial timeout", `"dial_timeout_us":200000`, `"dial_timeout_us":0`, "limits.dial_timeout_us", ErrNotPositive, "0s"},
 		{"no idle close", `"idle_close_us":30000000,`, ``, "limits.idle_close_us", ErrNotPositive, "0s"},
-		{"word for a number", `"try_limit":5`, `"try_limit":"five"`, "limits.try_limit", ErrUnexpectedType, `"string"`},
+		{"string for a number", `"try_limit":5`, `"try_limit":"five"`, "limits.try_limit", ErrUnexpectedType, `"string"`},
 		{"syntax error", `{"contract"`, `{{"contract"`, "", nil, syntaxError},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			site, err := Decode([]byte(strings.Replace(testObject, test.old, test.new, 1)))
 			if err == nil {
-				err = site.CheckSockets()
+				err = site.ValidateForProxy()
 			}
 			if test.cause == nil {
 				if err == nil || !strings.Contains(err.Error(), test.text) {
@@ -170,6 +170,6 @@
 		})
 	}
 	if _, err := Version(nil, []byte("{")); err == nil {
-		t.Error("an incomplete object has a version")
+		t.Error("got no error for an incomplete object")
 	}
 }
--- a/internal/settings/version.go
+++ b/internal/settings/version.go
@@ -8,11 +8,11 @@
 	"fmt"
 )
 
-// versionDigits is the length of a version, in hexadecimal digits.
+// versionDigits is the length of a version in hexadecimal digits.
 const versionDigits = 12
 
-// Version returns a name for the content of limits and settings: the first digits of the SHA-256 hash of
-// both in one JSON object with sorted keys and without white space. Limits may be empty.
+// Version returns an identifier for the content of limits and settings: the first digits of the SHA-256
+// hash of both in one JSON object with sorted keys and without white space. Limits may be empty.
 func Version(limits, settings json.RawMessage) (string, error) {
 	content := map[string]any{}
 	for key, data := range map[string]json.RawMessage{"limits": limits, "settings": settings} {
@@ -33,7 +33,7 @@
 	return hex.EncodeToString(sum[:])[:versionDigits], nil
 }
 
-// decodeExactly reads a JSON value with its numbers as they are written.
+// decodeExactly decodes a JSON value and keeps its numbers as they are written.
 func decodeExactly(data json.RawMessage) (any, error) {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.UseNumber()
@@ -42,7 +42,7 @@
 	return value, err
 }
 
-// encodeCanonically writes a JSON value with sorted keys, without white space and without HTML escapes.
+// encodeCanonically encodes a JSON value with sorted keys, without white space and without HTML escapes.
 func encodeCanonically(value any) ([]byte, error) {
 	var text bytes.Buffer
 	encoder := json.NewEncoder(&text)
--- a/internal/settings/wire.go
+++ b/internal/settings/wire.go
@@ -6,20 +6,20 @@
 	"baylock/balancer"
 )
 
-// The words of membership_mode: how updates of the endpoint list reach a proxy.
+// The values of membership_mode: how updates of the endpoint list reach a proxy.
 const (
 	membershipPushed     = "automatic"
 	membershipSubscribed = "subscribe"
 )
 
-// The words of profiles[].repeat: whether requests of a class may run more than once.
+// The values of profiles[].repeat: whether requests of a class may run more than once.
 const (
 	repeatIdempotent        = "idempotent"
 	repeatIdempotentWithKey = "deduplicated"
 	repeatNotIdempotent     = "at_most_once"
 )
 
-// The words of profiles[].dedup_scope: which endpoints discard duplicates of a request between them.
+// The values of profiles[].dedup_scope: among which endpoints duplicates of a request are discarded.
 const (
 	dedupScopeUnset = ""
 	dedupScopeTier  = "all"
@@ -27,18 +27,18 @@
 	dedupScopeCell  = "cell"
 )
 
-// The words of weights that say that the endpoint list carries no capacity hints.
+// The values of weights for which the endpoint list has no capacity hints.
 const (
 	weightsUnset = ""
 	weightsOff   = "off"
 )
 
-// unitWork is the word of counted_by for a priority weight that applies to each unit of work, not to each
+// unitWork is the value of counted_by for priority weights that apply to each unit of work instead of each
 // request.
 const unitWork = "work"
 
-// wireSettings is the settings object. The tags hold its names; the fields have those of balancer.Settings.
-// Durations are in microseconds.
+// wireSettings is the settings object as it is encoded in JSON. Its fields are named like those of
+// balancer.Settings. Durations are in microseconds.
 type wireSettings struct {
 	Tier         int          `json:"stage"`
 	Replicas     int          `json:"siblings"`
@@ -68,14 +68,14 @@
 	OrderedByKey     bool                  `json:"by_arrival"`
 }
 
-// wireTenant is a tenant.
+// wireTenant is a tenant with its quotas.
 type wireTenant struct {
 	Name          string  `json:"name"`
 	QuotaFraction float64 `json:"portion"`
 	RateQuota     float64 `json:"quota_per_s"`
 }
 
-// wireLimits is what the deployment permits.
+// wireLimits holds the limits that the deployment sets.
 type wireLimits struct {
 	DialTimeout     balancer.Microseconds `json:"dial_timeout_us"`
 	IdleClose       balancer.Microseconds `json:"idle_close_us"`
@@ -84,7 +84,7 @@
 	MaxRetryAfter   balancer.Microseconds `json:"max_retry_after_us"`
 }
 
-// wireRules is what backends, clients and the discovery service require of a proxy.
+// wireRules holds the rules that backends, clients and the discovery service require a proxy to follow.
 type wireRules struct {
 	MaxPollInterval    balancer.Microseconds `json:"ask_every_us"`
 	RejectedMayRun     bool                  `json:"busy_is_no_proof"`
@@ -98,7 +98,7 @@
 	SlowStartOverload  float64               `json:"tip_multiple"`
 }
 
-// balancerSettings maps the object to the balancer's settings. Its errors are *ValueError.
+// balancerSettings converts the object to the balancer's settings. Its errors are of type *ValueError.
 func (w *wireSettings) balancerSettings() (balancer.Settings, error) {
 	settings := balancer.Settings{
 		Tier:                w.Tier,
@@ -129,7 +129,7 @@
 	case membershipSubscribed:
 		settings.SubscribeRequired = true
 	default:
-		return balancer.Settings{}, &ValueError{Path: "membership_mode", Value: w.Membership, Err: ErrUnknownWord}
+		return balancer.Settings{}, &ValueError{Path: "membership_mode", Value: w.Membership, Err: ErrUnknownValue}
 	}
 	for i := range w.Classes {
 		class, err := w.Classes[i].balancerClass(i)
@@ -148,17 +148,17 @@
 	return settings, nil
 }
 
-// balancerClass maps the class with the given index.
+// balancerClass converts a class. Errors name the class by its index.
 func (w *wireClass) balancerClass(index int) (balancer.Class, error) {
 	idempotency, ok := parseIdempotency(w.Idempotency)
 	if !ok {
 		path := classPath(index, "repeat")
-		return balancer.Class{}, &ValueError{Path: path, Value: w.Idempotency, Err: ErrUnknownWord}
+		return balancer.Class{}, &ValueError{Path: path, Value: w.Idempotency, Err: ErrUnknownValue}
 	}
 	scope, ok := parseDedupScope(w.DedupScope, idempotency)
 	if !ok {
 		path := classPath(index, "dedup_scope")
-		return balancer.Class{}, &ValueError{Path: path, Value: w.DedupScope, Err: ErrUnknownWord}
+		return balancer.Class{}, &ValueError{Path: path, Value: w.DedupScope, Err: ErrUnknownValue}
 	}
 	return balancer.Class{
 		Name:             w.Name,
@@ -176,9 +176,9 @@
 // classPath is the JSON path of a field of the class with the given index.
 func classPath(index int, field string) string { return fmt.Sprintf("profiles[%d].%s", index, field) }
 
-// parseIdempotency reads a word of profiles[].repeat.
-func parseIdempotency(word string) (idempotency balancer.Idempotency, ok bool) {
-	switch word {
+// parseIdempotency parses a value of profiles[].repeat.
+func parseIdempotency(value string) (idempotency balancer.Idempotency, ok bool) {
+	switch value {
 	case repeatIdempotent:
 		return balancer.Idempotent, true
 	case repeatIdempotentWithKey:
@@ -189,10 +189,10 @@
 	return 0, false
 }
 
-// parseDedupScope reads a word of profiles[].dedup_scope. Idempotency keys without a stated scope get the
-// narrowest one, as no endpoint outside it is known to discard duplicates.
-func parseDedupScope(word string, idempotency balancer.Idempotency) (scope balancer.DedupScope, ok bool) {
-	switch word {
+// parseDedupScope parses a value of profiles[].dedup_scope. A class with idempotency keys and without a scope
+// gets the narrowest scope, because no endpoint outside it is known to discard duplicates.
+func parseDedupScope(value string, idempotency balancer.Idempotency) (scope balancer.DedupScope, ok bool) {
+	switch value {
 	case dedupScopeUnset:
 		if idempotency == balancer.IdempotentWithKey {
 			return balancer.DedupCell, true
