--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -40,7 +40,7 @@
 // NewSnapshot validates a configuration, except for what the balancer validates itself. previous is the snapshot that
 // the new one replaces, or nil at the start of the process; zones are those assigned at the start.
 func NewSnapshot(cfg Config, zones discovery.Zones, previous *Snapshot) (*Snapshot, error) {
-	if err := cfg.Site.CheckSockets(); err != nil {
+	if err := cfg.Site.ValidateForProxy(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if err := cfg.Limits.check(); err != nil {
