--- a/internal/emulator/backend/attempt.go
+++ b/internal/emulator/backend/attempt.go
@@ -12,8 +12,9 @@
 	"baylock/internal/emulator/hollow"
 )
 
-// timerSlack is how late the end of an attempt's context may be noticed, as with Linux timers. It spreads time-outs
-// that would otherwise fall on one microsecond, where no seed settles in which order proxies hear of them.
+// timerSlack limits the random delay between the end of an attempt's context and its effect; it models the slack of
+// Linux timers. It spreads timeouts that would otherwise expire in the same microsecond: the order in which proxies
+// learn of those does not depend on the seed, so runs would not be reproducible.
 const timerSlack = 50 * time.Microsecond
 
 var errProcessEnded = errors.New("the backend's process has ended")
@@ -23,23 +24,23 @@
 	process        *process
 	call           hollow.Call
 	samples        samples
-	deadline       time.Time     // of its answer
-	workerAssigned chan struct{} // closed when it gets a worker
+	deadline       time.Time     // for its response
+	workerAssigned chan struct{} // closed when a worker has been assigned to it
 }
 
-// samples are the random draws of one attempt. Those without a unit are evenly distributed from 0 to 1.
+// samples holds the random values of one attempt. The float64 values are uniformly distributed between 0 and 1.
 type samples struct {
 	requestLatency  time.Duration
 	work            time.Duration
 	responseLatency time.Duration
-	noticeDelay     time.Duration // until the end of its context is noticed
-	fault           float64       // compared with the fault ratios at the end of its work
-	delayed         float64       // compared with the ratio of delayed attempts
-	delay           float64       // in parts of the longest delay
+	noticeDelay     time.Duration // from the end of its context until the attempt reacts to it
+	fault           float64       // compared with the ratios of Faults at the end of its work
+	delayed         float64       // compared with Faults.DelayRatio
+	delay           float64       // as a fraction of Faults.MaxDelay
 }
 
-// sample draws an attempt's samples. They depend on the seed, the backend, the call and the time alone, so attempts
-// that begin at the same time may do so in any order.
+// sample generates the random values of an attempt. They depend only on the seed, the backend, the call's ID and the
+// current time, so the order in which simultaneous attempts begin does not matter.
 func (s *server) sample(id string) samples {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(s.name + " " + id)) // never fails
@@ -55,64 +56,68 @@
 	}
 }
 
-// sampleDuration draws a duration with the given mean: a constant half and an exponential half.
+// sampleDuration returns a random duration with the given mean: half of the mean is constant, the other half is the
+// mean of an exponential distribution.
 func sampleDuration(random *rand.Rand, mean time.Duration) time.Duration {
 	return mean/2 + time.Duration(random.ExpFloat64()*float64(mean/2))
 }
 
-// exchange sends an attempt and returns its outcome: Cancelled soon after the context ends.
-func (s *server) exchange(ctx context.Context, call hollow.Call, draws samples) balancer.Status {
+// roundTrip sends an attempt to the backend and returns its outcome. Once the context ends, it returns Cancelled
+// within timerSlack.
+func (s *server) roundTrip(ctx context.Context, call hollow.Call, drawn samples) balancer.Status {
 	timeout := advertisedTimeout(call.Deadline)
-	ctx, cancel := withSlack(ctx, draws.noticeDelay)
+	ctx, cancel := withSlack(ctx, drawn.noticeDelay)
 	defer cancel()
-	if !sleep(ctx, draws.requestLatency+s.injectedDelay(draws)) {
+	if !sleep(ctx, drawn.requestLatency+s.injectedDelay(drawn)) {
 		return balancer.Cancelled
 	}
-	a := &attempt{call: call, samples: draws, deadline: time.Now().Add(timeout), workerAssigned: make(chan struct{})}
+	a := &attempt{call: call, samples: drawn, deadline: time.Now().Add(timeout), workerAssigned: make(chan struct{})}
 	status := s.handle(ctx, a)
-	if status == balancer.Cancelled || !sleep(ctx, draws.responseLatency) {
+	if status == balancer.Cancelled || !sleep(ctx, drawn.responseLatency) {
 		return balancer.Cancelled
 	}
 	return status
 }
 
-// advertisedTimeout is the timeout that a proxy sends along with an attempt: whole milliseconds, as on the wire.
+// advertisedTimeout returns the timeout that a proxy sends with an attempt: at least 1 ms, and in whole milliseconds
+// as on the wire.
 func advertisedTimeout(deadline time.Time) time.Duration {
 	return max(time.Millisecond, time.Until(deadline).Truncate(time.Millisecond))
 }
 
-// withSlack returns a context that ends the given time after its parent.
+// withSlack returns a context that is cancelled when the given time has passed since the end of its parent.
 func withSlack(parent context.Context, slack time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(parent))
-	unlink := context.AfterFunc(parent, func() {
+	stop := context.AfterFunc(parent, func() {
 		time.Sleep(slack)
 		cancel()
 	})
 	return ctx, func() {
-		unlink()
+		stop()
 		cancel()
 	}
 }
 
-// handle handles an attempt that has arrived, and returns its outcome.
+// handle processes and counts an attempt that has arrived at the backend, and returns its outcome.
 func (s *server) handle(ctx context.Context, a *attempt) balancer.Status {
 	status := s.admit(a, time.Now())
 	if status == balancer.ConnectFailed {
 		return status
 	}
 	if status == balancer.OK {
-		status = s.complete(ctx, a)
+		status = s.serve(ctx, a)
 	}
 	s.counters.attemptEnded(status)
 	return status
 }
 
-// complete serves an admitted attempt, until it is cancelled or the process ends.
-func (s *server) complete(ctx context.Context, a *attempt) balancer.Status {
+// serve queues and runs an admitted attempt and returns its outcome: Cancelled if the context ends first, Reset if
+// the process ends first.
+func (s *server) serve(ctx context.Context, a *attempt) balancer.Status {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	unlink := context.AfterFunc(a.process.ctx, func() { cancel(errProcessEnded) })
-	defer unlink()
+	stop := context.AfterFunc(a.process.ctx, func() { cancel(errProcessEnded) })
+	defer stop()
 	status := balancer.Cancelled
 	if s.waitForWorker(ctx, a) {
 		status = s.run(ctx, a)
@@ -124,7 +129,8 @@
 	return status
 }
 
-// waitForWorker waits for a worker; it returns false, and leaves the queue, if the context ends first.
+// waitForWorker waits until a worker is assigned to the attempt. If the context ends first, it removes the attempt
+// from the queue and returns false.
 func (s *server) waitForWorker(ctx context.Context, a *attempt) bool {
 	select {
 	case <-a.workerAssigned:
@@ -141,7 +147,8 @@
 	return false
 }
 
-// run does an attempt's work. It returns Cancelled when the context ends.
+// run executes an attempt on its worker: its work, the injected faults and the call to the next tier, if there is
+// one. It returns Cancelled when the context ends.
 func (s *server) run(ctx context.Context, a *attempt) balancer.Status {
 	now := time.Now()
 	s.counters.runStarted(a.call.ID, a.call.Class, now)
@@ -163,7 +170,8 @@
 	return s.callNext(ctx, next, a)
 }
 
-// workDuration is the duration of work that begins now: longer where the backend is cold or congested.
+// workDuration returns how long the attempt's work takes if it begins now. Work takes longer at a cold or congested
+// backend.
 func (s *server) workDuration(a *attempt, now time.Time) time.Duration {
 	work := float64(a.samples.work)
 	if s.congested(a.process) {
@@ -175,21 +183,22 @@
 	return time.Duration(work)
 }
 
-// waitForResume waits while the backend hangs; it returns false if the context ends first.
+// waitForResume blocks while the backend hangs. It returns false if the context ends first.
 func (s *server) waitForResume(ctx context.Context) bool {
-	hung := s.currentHang()
-	if hung == nil {
+	hangEnd := s.currentHang()
+	if hangEnd == nil {
 		return true
 	}
 	select {
-	case <-hung:
+	case <-hangEnd:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// callNext calls the next tier with the time that remains. The attempt fails unless that call is served.
+// callNext calls the next tier, with the attempt's remaining time as its timeout. It returns Error if that call is
+// not served, and Cancelled if the context ends first.
 func (s *server) callNext(ctx context.Context, next Caller, a *attempt) balancer.Status {
 	call := a.call
 	call.ID = s.nextCallID()
--- a/internal/emulator/backend/backend.go
+++ b/internal/emulator/backend/backend.go
@@ -1,6 +1,7 @@
-// Package backend emulates the backends of a service in memory, for hollow proxies to send to: workers with a bounded
-// queue, cold starts, congestion, injected faults, hangs and crashes, and requests to the next tier through a proxy of
-// the backend's own. Time is that of package time, so that a Tier also runs under testing/synctest.
+// Package backend emulates, in memory, the backends to which hollow proxies send attempts. It models workers with a
+// bounded queue, cold starts, congestion, injected faults, hangs and crashes, and the calls that each backend makes to
+// the next tier through its own proxy. It uses the clock and timers of package time, so that a Tier also runs under
+// testing/synctest.
 package backend
 
 import (
@@ -15,18 +16,18 @@
 
 // Caller makes calls to the next tier; *hollow.Proxy implements it.
 type Caller interface {
-	// Call blocks until the final answer. It cancels the call when the context ends.
+	// Call makes a call and blocks until its final answer. It cancels the call when the context ends.
 	Call(ctx context.Context, call hollow.Call) hollow.Result
 }
 
-// Tier is the backends of one tier. Its methods may be called at any time from any goroutine.
+// Tier holds the backends of one tier. It is safe for concurrent use.
 type Tier struct {
 	cfg      Config
 	servers  map[string]*server
 	counters *counters
 }
 
-// New returns a tier whose backends are up and warm.
+// New returns a Tier whose backends are all running and warm.
 func New(cfg Config) (*Tier, error) {
 	if err := cfg.check(); err != nil {
 		return nil, fmt.Errorf("backends: %w", err)
@@ -47,15 +48,15 @@
 	if s == nil {
 		return balancer.ConnectFailed
 	}
-	return s.exchange(ctx, call, s.sample(call.ID))
+	return s.roundTrip(ctx, call, s.sample(call.ID))
 }
 
-// Connect gives a backend its proxy of the next tier. Without one it answers by itself.
+// Connect sets the proxy through which a backend calls the next tier. A backend without one makes no such calls.
 func (t *Tier) Connect(name string, next Caller) error {
 	return t.update(name, func(s *server) { s.next = next })
 }
 
-// SetFaults replaces the injected faults of all backends. Attempts at work get the new ones too.
+// SetFaults replaces the injected faults of all backends. It also applies to attempts whose work has begun.
 func (t *Tier) SetFaults(faults Faults) error {
 	if err := faults.check(); err != nil {
 		return fmt.Errorf("backends: faults %+v: %w", faults, err)
@@ -66,22 +67,22 @@
 	return nil
 }
 
-// Hang makes a backend hang: it accepts calls, and ends none.
+// Hang makes a backend hang: it accepts attempts, but none of them completes its work until Resume is called.
 func (t *Tier) Hang(name string) error {
 	return t.update(name, func(s *server) { s.hang() })
 }
 
-// Resume ends a hang.
+// Resume ends a backend's hang.
 func (t *Tier) Resume(name string) error {
 	return t.update(name, func(s *server) { s.resume() })
 }
 
-// Crash ends a backend's process: its calls are reset, and new connections are refused.
+// Crash terminates a backend's process: its attempts are reset, and new connections are refused until Start is called.
 func (t *Tier) Crash(name string) error {
 	return t.update(name, func(s *server) { s.crash() })
 }
 
-// Start starts a backend's process, cold. One that is up crashes first.
+// Start starts a backend's process, which is cold at first. A backend that is running crashes before that.
 func (t *Tier) Start(name string) error {
 	return t.update(name, func(s *server) {
 		s.crash()
@@ -89,7 +90,7 @@
 	})
 }
 
-// update changes the state of one backend, under its lock.
+// update calls change for one backend, with its lock held.
 func (t *Tier) update(name string, change func(*server)) error {
 	s := t.servers[name]
 	if s == nil {
@@ -101,8 +102,8 @@
 	return nil
 }
 
-// Counts returns the tier's counts since its start.
+// Counts returns the tier's counts since New.
 func (t *Tier) Counts() Counts { return t.counters.snapshot() }
 
-// sleep waits; it returns false at once when the context ends.
+// sleep blocks for d. It returns false as soon as the context ends.
 func sleep(ctx context.Context, d time.Duration) bool { return timing.Wait(ctx, d) == nil }
--- a/internal/emulator/backend/backend_test.go
+++ b/internal/emulator/backend/backend_test.go
@@ -17,7 +17,7 @@
 
 const (
 	millisecond        = time.Millisecond
-	idempotentClass    = 0 // of testClasses
+	idempotentClass    = 0 // index into testClasses, like the next two
 	keyedClass         = 1
 	nonIdempotentClass = 2
 )
@@ -56,7 +56,7 @@
 	return tier.Attempt(ctx, "b1", hollow.Call{ID: id, Class: class, Deadline: time.Now().Add(timeout)})
 }
 
-// runAttempts makes n concurrent attempts and returns the number of each outcome.
+// runAttempts makes n concurrent attempts and returns how many ended with each status.
 func runAttempts(tier *Tier, n int, timeout time.Duration) map[balancer.Status]int {
 	outcomes := map[balancer.Status]int{}
 	var mu sync.Mutex
@@ -78,7 +78,7 @@
 	for _, test := range []struct {
 		name   string
 		change func(*Config)
-		want   string // in the error
+		want   string // substring of the error
 	}{
 		{"no names", func(c *Config) { c.Names = nil }, "Names"},
 		{"duplicate name", func(c *Config) { c.Names = []string{"b1", "b1"} }, `"b1"`},
@@ -140,7 +140,7 @@
 		tier := newTier(t, testConfig())
 		outcomes := runAttempts(tier, 5, time.Second)
 		if outcomes[balancer.OK] != 3 || outcomes[balancer.Rejected] != 2 {
-			t.Errorf("two workers and one place in the queue: got %v for 5 concurrent attempts", outcomes)
+			t.Errorf("2 workers, 1 place in the queue, 5 concurrent attempts: got outcomes %v", outcomes)
 		}
 		c := tier.Counts()
 		if c.Arrivals != 5 || c.ArrivalsByClass[idempotentClass] != 5 || c.Served != 3 || c.Rejected != 2 ||
@@ -164,10 +164,10 @@
 				t.Fatalf("status %v", got)
 			}
 			if took := time.Since(sent); took < 6*millisecond {
-				t.Fatalf("an attempt took %v, less than half of the means", took)
+				t.Fatalf("an attempt took %v, less than half of the sum of the mean work and latencies", took)
 			}
 		}
-		mean := time.Since(begin) / calls // of 12 ms, with a standard deviation of some 5 ms
+		mean := time.Since(begin) / calls // 12 ms expected; the standard deviation of one attempt is about 5 ms
 		if mean < 11500*time.Microsecond || mean > 12500*time.Microsecond {
 			t.Errorf("mean duration %v, want about 12 ms", mean)
 		}
@@ -183,17 +183,17 @@
 			sent := time.Now()
 			status := runAttempt(tier, strconv.Itoa(i), idempotentClass, time.Second)
 			if outcomes[status]++; status == balancer.Cancelled && time.Since(sent).Truncate(timerSlack) != time.Second {
-				t.Fatalf("a stalled attempt ended after %v", time.Since(sent))
+				t.Fatalf("a stalled attempt ended after %v, want its timeout of 1s", time.Since(sent))
 			}
 		}
-		within := func(status balancer.Status, least, most int) {
+		expectBetween := func(status balancer.Status, least, most int) {
 			if outcomes[status] < least || outcomes[status] > most {
 				t.Errorf("%d of 1000 attempts ended with status %v, want %d to %d", outcomes[status], status, least, most)
 			}
 		}
-		within(balancer.Error, 250, 350)
-		within(balancer.Cancelled, 150, 250)
-		within(balancer.OK, 450, 550)
+		expectBetween(balancer.Error, 250, 350)
+		expectBetween(balancer.Cancelled, 150, 250)
+		expectBetween(balancer.OK, 450, 550)
 		if c := tier.Counts(); c.Failed != int64(outcomes[balancer.Error]) || c.Cancelled != int64(outcomes[balancer.Cancelled]) || c.InFlight != 0 {
 			t.Errorf("counts %+v", c)
 		}
@@ -206,11 +206,11 @@
 		must(t, tier.SetFaults(Faults{StallRatio: 1}))
 		outcomes := runAttempts(tier, 5, 100*millisecond)
 		if outcomes[balancer.Cancelled] != 3 || outcomes[balancer.Rejected] != 2 {
-			t.Errorf("got %v", outcomes)
+			t.Errorf("got outcomes %v", outcomes)
 		}
 		must(t, tier.SetFaults(Faults{}))
 		if outcomes = runAttempts(tier, 2, 100*millisecond); outcomes[balancer.OK] != 2 {
-			t.Errorf("after the stall: got %v", outcomes)
+			t.Errorf("after the stall: got outcomes %v", outcomes)
 		}
 	})
 }
@@ -229,7 +229,7 @@
 		}
 		sent := time.Now()
 		if got := runAttempt(tier, "patient", idempotentClass, time.Second); got != balancer.OK || time.Since(sent) < 100*millisecond {
-			t.Errorf("status %v after %v; want OK after the hang", got, time.Since(sent))
+			t.Errorf("status %v after %v; want OK, after the hang has ended", got, time.Since(sent))
 		}
 	})
 }
@@ -244,7 +244,7 @@
 			}
 		})
 		if outcomes := runAttempts(tier, 3, time.Second); outcomes[balancer.Reset] != 3 {
-			t.Errorf("at the crash: %v", outcomes)
+			t.Errorf("at the crash: outcomes %v", outcomes)
 		}
 		if got := runAttempt(tier, "down", idempotentClass, time.Second); got != balancer.ConnectFailed {
 			t.Errorf("down: status %v", got)
@@ -259,13 +259,13 @@
 	})
 }
 
-// nextTier is a Caller that records its calls.
-type nextTier struct {
+// fakeNextTier is a Caller that records its calls and answers them by calling answer.
+type fakeNextTier struct {
 	calls  []hollow.Call
 	answer func(ctx context.Context) hollow.Result
 }
 
-func (n *nextTier) Call(ctx context.Context, call hollow.Call) hollow.Result {
+func (n *fakeNextTier) Call(ctx context.Context, call hollow.Call) hollow.Result {
 	n.calls = append(n.calls, call)
 	return n.answer(ctx)
 }
@@ -273,7 +273,7 @@
 func TestAttemptCallsNextTierWithRemainingTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tier := newTier(t, testConfig())
-		next := &nextTier{answer: func(context.Context) hollow.Result { return hollow.Result{Outcome: hollow.Served} }}
+		next := &fakeNextTier{answer: func(context.Context) hollow.Result { return hollow.Result{Outcome: hollow.Served} }}
 		must(t, tier.Connect("b1", next))
 		call := hollow.Call{ID: "c", Class: keyedClass, Tenant: 1, Key: "k", Depth: 3}
 		send := func(deadline time.Time) balancer.Status {
@@ -287,9 +287,9 @@
 			t.Errorf("served by the next tier: status %v", got)
 		}
 		got := next.calls[0]
-		// The time that the proxy waits, in whole milliseconds, counts from the call's arrival.
+		// The deadline is the call's arrival plus the timeout that the proxy sent in whole milliseconds.
 		if d := got.Deadline.Sub(sent); d < 50*millisecond+500*time.Microsecond || d > 60*millisecond {
-			t.Errorf("the deadline at the next tier is %v after the send", d)
+			t.Errorf("the deadline at the next tier is %v after the attempt was sent, want 50.5ms to 60ms", d)
 		}
 		got.Deadline = time.Time{}
 		if got != (hollow.Call{ID: "b1/1", Class: keyedClass, Tenant: 1, Key: "k", Depth: 4}) {
@@ -328,12 +328,12 @@
 		run("keyed", keyedClass, 0)
 		run("not idempotent", nonIdempotentClass, 0)
 		run("not idempotent", nonIdempotentClass, 1)
-		time.Sleep(500 * millisecond) // the window of the keyed class
+		time.Sleep(500 * millisecond) // the deduplication window of keyedClass
 		run("keyed", keyedClass, 2)
-		time.Sleep(3 * time.Second) // longer than any repeat may come
+		time.Sleep(3 * time.Second) // longer than the retention time of the run log, after which no retry may arrive
 		run("another", nonIdempotentClass, 2)
 		if log := tier.counters.runs; len(log.firstRun) != 1 || len(log.byFirstRun) != 1 {
-			t.Errorf("%d runs in the log, want the last one", len(log.firstRun))
+			t.Errorf("%d runs in the log, want only the last one", len(log.firstRun))
 		}
 	})
 }
@@ -352,7 +352,7 @@
 			}
 			return time.Since(begin) / time.Duration(calls)
 		}
-		if got := mean(500); got < 35*millisecond || got > 42*millisecond { // a quarter of 10 ms, and warming
+		if got := mean(500); got < 35*millisecond || got > 42*millisecond { // 10 ms at a quarter of the capacity, which grows
 			t.Errorf("mean at the start: %v", got)
 		}
 		time.Sleep(1000 * time.Second)
@@ -363,12 +363,13 @@
 }
 
 func TestColdBackendCrashesAboveOverloadThreshold(t *testing.T) {
-	// Two workers of 10 ms serve 200 calls a second; half of that cold, times the factor of 2, is sustainable.
+	// Two workers that need 10 ms for a call serve 200 calls per second when warm, and half as many when cold.
+	// OverloadFactor 2 makes 200 calls sustainable within the window of 1 s.
 	const sustainable = 200
 	const threshold = 230 // 200 + 2 x 14.1 + 2
 	for _, test := range []struct {
 		name    string
-		calls   int // the drawn work of so many calls differs from its mean by some 6 calls
+		calls   int // the sum of their random work deviates from its mean by about 6 calls' work
 		crashes bool
 	}{
 		{"below", threshold - 25, false},
@@ -383,17 +384,17 @@
 				must(t, tier.Start("b1"))
 				outcomes := runAttempts(tier, test.calls, time.Second)
 				counts := tier.Counts()
-				crashed := counts.Overloaded == 1
+				crashed := counts.OverloadCrashes == 1
 				if crashed != test.crashes || crashed != (counts.ColdPeakLoad > 1) || crashed != (outcomes[balancer.Reset] > 0) {
 					t.Errorf("outcomes %v, counts %+v", outcomes, counts)
 				}
 				want := counts.ColdPeakLoad * threshold / sustainable
-				if math.Abs(counts.ColdPeakMeanLoad-want) > 0.01 {
-					t.Errorf("peak load %v in parts of the sustainable load, want %v", counts.ColdPeakMeanLoad, want)
+				if math.Abs(counts.ColdPeakSustainableRatio-want) > 0.01 {
+					t.Errorf("peak load is %v of the sustainable load, want %v", counts.ColdPeakSustainableRatio, want)
 				}
 				status := runAttempt(tier, "later", idempotentClass, time.Second)
 				if down := status == balancer.ConnectFailed; down != test.crashes {
-					t.Errorf("afterwards: status %v", status)
+					t.Errorf("attempt after the load: status %v", status)
 				}
 				if !test.crashes && counts.ColdArrivals != int64(test.calls) {
 					t.Errorf("%d arrivals at the cold backend, want %d", counts.ColdArrivals, test.calls)
@@ -431,11 +432,12 @@
 	first, firstTook := runOnce()
 	second, secondTook := runOnce()
 	if !slices.Equal(first, second) || firstTook != secondTook {
-		t.Errorf("two runs with one seed took %v and %v, with outcomes\n%v\n%v", firstTook, secondTook, first, second)
+		t.Errorf("two runs with the same seed took %v and %v, with outcomes\n%v\n%v", firstTook, secondTook, first, second)
 	}
 }
 
-// Neither the order of attempts that begin at one time nor that of simultaneous time-outs may matter.
+// Outcomes must depend neither on the order of attempts that begin simultaneously nor on that of simultaneous
+// timeouts.
 func TestSimultaneousAttemptsRepeatOutcomes(t *testing.T) {
 	const calls = 50
 	runOnce := func() (outcomes [calls]balancer.Status, times [calls]time.Duration) {
@@ -458,14 +460,14 @@
 	}
 	outcomes, times := runOnce()
 	for range 5 {
-		if againEnds, againTimes := runOnce(); againEnds != outcomes || againTimes != times {
-			t.Fatalf("two runs differ:\n%v %v\n%v %v", outcomes, times, againEnds, againTimes)
+		if againOutcomes, againTimes := runOnce(); againOutcomes != outcomes || againTimes != times {
+			t.Fatalf("two runs with the same seed differ:\n%v %v\n%v %v", outcomes, times, againOutcomes, againTimes)
 		}
 	}
 	slices.Sort(times[:])
 	for i := range calls - 1 {
 		if times[i] == times[i+1] {
-			t.Errorf("two attempts ended after %v", times[i])
+			t.Errorf("two attempts ended at the same time, after %v", times[i])
 		}
 	}
 }
--- a/internal/emulator/backend/counts.go
+++ b/internal/emulator/backend/counts.go
@@ -8,29 +8,29 @@
 	"baylock/balancer"
 )
 
-// Counts are a tier's counts of attempts and runs. An attempt that has arrived is in flight until it is counted as
-// served, failed, rejected, cancelled or reset.
+// Counts holds a tier's counts of attempts and runs. A run is the work of an attempt. An attempt that has arrived is
+// in flight until it is counted as served, failed, rejected, cancelled or reset.
 type Counts struct {
 	Arrivals        int64 // attempts whose last byte has arrived
 	ArrivalsByClass []int64
 	Served          int64
-	Failed          int64 // answered with an error, the backend's own or the next tier's
-	Rejected        int64 // never begun, as the queue was full
+	Failed          int64 // answered with an error, injected or because the call to the next tier failed
+	Rejected        int64 // not run, because the queue was full
 	Cancelled       int64 // by the proxy
 	Reset           int64 // by the end of the process or an injected fault
-	InFlight        int   // queued ones included
+	InFlight        int   // including queued attempts
 	InFlightPeak    int
-	ForbiddenRuns   int64 // runs of a call beyond its first that its class does not allow
+	ForbiddenRuns   int64 // repeated runs of a call that its class's idempotency does not allow
 
-	ColdArrivals     int64   // attempts that arrived at cold backends
-	ColdPeakLoad     float64 // highest load of a cold backend within OverloadWindow, in parts of the threshold
-	ColdPeakMeanLoad float64 // the same in parts of the sustainable load
-	Overloaded       int     // crashes of cold backends
+	ColdArrivals             int64   // attempts that arrived at cold backends
+	ColdPeakLoad             float64 // highest load within OverloadWindow, as a fraction of the overload threshold
+	ColdPeakSustainableRatio float64 // the same, as a fraction of the sustainable load
+	OverloadCrashes          int     // crashes of cold backends caused by overload
 }
 
-// counters keeps the Counts of a tier.
+// counters maintains the Counts of a tier.
 type counters struct {
-	mu     sync.Mutex // guards all below
+	mu     sync.Mutex // guards the fields below
 	counts Counts
 	runs   runLog
 }
@@ -47,8 +47,8 @@
 	return counts
 }
 
-// arrival counts the arrival of an attempt.
-func (c *counters) arrival(class int) {
+// attemptArrived counts an attempt that arrives at a backend.
+func (c *counters) attemptArrived(class int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Arrivals++
@@ -78,7 +78,7 @@
 	}
 }
 
-// runStarted counts the start of a call's work.
+// runStarted records a run, and counts it if the call's class does not allow it.
 func (c *counters) runStarted(id string, class int, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,25 +87,27 @@
 	}
 }
 
-// coldArrival counts an attempt at a cold backend, which crashes if the load, in parts of its threshold, is above 1.
-func (c *counters) coldArrival(load, meanLoad float64) {
+// coldAttemptArrived counts an attempt at a cold backend. The backend's load is given as fractions of its overload
+// threshold and of its sustainable load. The backend crashes if it exceeds the threshold.
+func (c *counters) coldAttemptArrived(thresholdRatio, sustainableRatio float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.ColdArrivals++
-	c.counts.ColdPeakLoad = max(c.counts.ColdPeakLoad, load)
-	c.counts.ColdPeakMeanLoad = max(c.counts.ColdPeakMeanLoad, meanLoad)
-	if load > 1 {
-		c.counts.Overloaded++
+	c.counts.ColdPeakLoad = max(c.counts.ColdPeakLoad, thresholdRatio)
+	c.counts.ColdPeakSustainableRatio = max(c.counts.ColdPeakSustainableRatio, sustainableRatio)
+	if thresholdRatio > 1 {
+		c.counts.OverloadCrashes++
 	}
 }
 
-// runLog keeps the times of the first runs of calls that are not idempotent, for as long as a retry may arrive. All
-// backends of the tier discard duplicates of a call with an idempotency key, within its class's window.
+// runLog records when each call that is not idempotent first ran, and keeps that for as long as a retry may arrive.
+// A repeated run of a call with an idempotency key is allowed within its class's deduplication window, because all
+// backends of the tier discard such duplicates.
 type runLog struct {
 	classes    []balancer.Class
 	retention  time.Duration
-	firstRun   map[string]time.Time // by the call's ID
-	byFirstRun []string             // IDs in order of their first run
+	firstRun   map[string]time.Time // by call ID
+	byFirstRun []string             // call IDs in the order of their first runs
 }
 
 func newRunLog(classes []balancer.Class) runLog {
@@ -128,11 +130,11 @@
 		l.byFirstRun = append(l.byFirstRun, id)
 		return true
 	}
-	discarded := l.classes[class].Idempotency == balancer.IdempotentWithKey
-	return discarded && now.Sub(first) <= l.classes[class].DedupWindow.Duration()
+	deduplicated := l.classes[class].Idempotency == balancer.IdempotentWithKey
+	return deduplicated && now.Sub(first) <= l.classes[class].DedupWindow.Duration()
 }
 
-// prune removes the runs that are older than the retention time.
+// prune removes the calls whose first run is longer ago than the retention time.
 func (l *runLog) prune(now time.Time) {
 	for len(l.byFirstRun) > 0 && now.Sub(l.firstRun[l.byFirstRun[0]]) > l.retention {
 		delete(l.firstRun, l.byFirstRun[0])
--- a/internal/emulator/backend/server.go
+++ b/internal/emulator/backend/server.go
@@ -9,28 +9,29 @@
 	"baylock/balancer"
 )
 
-// server is one backend. Its methods lock mu themselves, except start, crash, hang, resume and overloaded.
+// server is one backend. Callers of start, crash, hang, resume and overloaded must hold mu; the other methods
+// lock it themselves.
 type server struct {
 	name     string
 	cfg      *Config
 	counters *counters
 	created  time.Time
 
-	mu      sync.Mutex // guards all below, and the processes' mutable fields
-	faults  Faults
-	next    Caller
-	calls   uint64        // made to the next tier
-	hung    chan struct{} // closed at the end of the hang; nil if there is none
-	process *process      // nil while the backend is down
+	mu            sync.Mutex // guards the fields below and the mutable fields of all processes
+	faults        Faults
+	next          Caller
+	nextTierCalls uint64        // number of calls made to the next tier
+	hangEnd       chan struct{} // closed by resume; nil while the backend does not hang
+	process       *process      // nil while the backend is down
 }
 
 // process is one run of a backend's process.
 type process struct {
 	ctx     context.Context // ends with the process
 	stop    context.CancelFunc
-	started time.Time  // zero: long ago
-	busy    int        // workers with a call
-	queue   []*attempt // calls without a worker, in the order of their arrival
+	started time.Time  // zero: so long ago that the process is warm
+	busy    int        // number of workers with a call
+	queue   []*attempt // attempts waiting for a worker, in order of arrival
 	load    coldLoad
 }
 
@@ -40,7 +41,7 @@
 	return s
 }
 
-// start starts a process.
+// start starts a process. The zero time makes it warm from the start.
 func (s *server) start(now time.Time) {
 	p := &process{started: now}
 	p.ctx, p.stop = context.WithCancel(context.Background())
@@ -53,24 +54,24 @@
 		s.process.stop()
 	}
 	s.process = nil
-	s.hung = nil
+	s.hangEnd = nil
 }
 
 func (s *server) hang() {
-	if s.hung == nil {
-		s.hung = make(chan struct{})
+	if s.hangEnd == nil {
+		s.hangEnd = make(chan struct{})
 	}
 }
 
 func (s *server) resume() {
-	if s.hung != nil {
-		close(s.hung)
+	if s.hangEnd != nil {
+		close(s.hangEnd)
 	}
-	s.hung = nil
+	s.hangEnd = nil
 }
 
-// overloaded adds an arriving attempt to the load of a cold process, and reports whether the load is above the
-// threshold.
+// overloaded adds an arriving attempt to the load of its process, if that is cold, and reports whether the
+// load exceeds the overload threshold. It returns false if the process is warm.
 func (s *server) overloaded(a *attempt, now time.Time) bool {
 	p := a.process
 	age := now.Sub(p.started)
@@ -81,12 +82,14 @@
 	load := p.load.add(arrival{at: now, weight: weight}, s.cfg.ColdStart.OverloadWindow)
 	warmRate := float64(s.cfg.Workers) / s.cfg.Work.Seconds()
 	sustainable := s.cfg.ColdStart.sustainableLoad(warmRate * s.cfg.ColdStart.capacity(age))
-	relative := load / overloadThreshold(sustainable)
-	s.counters.coldArrival(relative, load/sustainable)
-	return relative > 1
+	thresholdRatio := load / overloadThreshold(sustainable)
+	s.counters.coldAttemptArrived(thresholdRatio, load/sustainable)
+	return thresholdRatio > 1
 }
 
-// admit gives an arriving attempt a worker or a place in the queue, or rejects it.
+// admit assigns a worker to an arriving attempt or queues it, and then returns OK. Otherwise it returns the
+// attempt's outcome: ConnectFailed if the backend is down, Reset if the attempt crashes it, Rejected if the
+// queue is full.
 func (s *server) admit(a *attempt, now time.Time) balancer.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +98,7 @@
 		return balancer.ConnectFailed
 	}
 	a.process = p
-	s.counters.arrival(a.call.Class)
+	s.counters.attemptArrived(a.call.Class)
 	if s.overloaded(a, now) {
 		s.crash()
 		return balancer.Reset
@@ -112,14 +115,14 @@
 	return balancer.OK
 }
 
-// release frees a worker.
+// release frees a worker of the process; see process.release.
 func (s *server) release(p *process) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p.release()
 }
 
-// release assigns the freed worker to the first call of the queue.
+// release assigns a freed worker to the first queued attempt, if any. The caller must hold the server's mu.
 func (p *process) release() {
 	if len(p.queue) == 0 {
 		p.busy--
@@ -135,17 +138,17 @@
 	s.faults = faults
 }
 
-// injectedDelay is by how much an attempt is delayed on its way.
-func (s *server) injectedDelay(draws samples) time.Duration {
+// injectedDelay returns the injected delay of an attempt on its way to the backend.
+func (s *server) injectedDelay(drawn samples) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if draws.delayed >= s.faults.DelayRatio {
+	if drawn.delayed >= s.faults.DelayRatio {
 		return 0
 	}
-	return time.Duration(draws.delay * float64(s.faults.MaxDelay))
+	return time.Duration(drawn.delay * float64(s.faults.MaxDelay))
 }
 
-// congested reports whether a process has more calls than it can serve without slowing down.
+// congested reports whether a process has more calls than Congestion.Threshold.
 func (s *server) congested(p *process) bool {
 	if s.cfg.Congestion == (Congestion{}) {
 		return false
@@ -155,13 +158,14 @@
 	return p.busy+len(p.queue) > s.cfg.Congestion.Threshold
 }
 
-// currentHang returns a channel that is closed at the end of the present hang, or nil.
+// currentHang returns a channel that is closed by resume, or nil if the backend does not hang.
 func (s *server) currentHang() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.hung
+	return s.hangEnd
 }
 
+// nextAndFaults returns the proxy of the next tier, or nil if there is none, and the injected faults.
 func (s *server) nextAndFaults() (Caller, Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,6 +176,6 @@
 func (s *server) nextCallID() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.calls++
-	return s.name + "/" + strconv.FormatUint(s.calls, 10)
+	s.nextTierCalls++
+	return s.name + "/" + strconv.FormatUint(s.nextTierCalls, 10)
 }
--- a/internal/scale/ramp/ramp.go
+++ b/internal/scale/ramp/ramp.go
@@ -168,8 +168,8 @@
 	add("calls before, over the capacity of all", "part", float64(calls)/capacity, nil, calls)
 	cold := r.counts.ColdArrivals
 	add("worst window of a cold backend over what it bears", "part", r.counts.ColdPeakLoad, scale.Target(1), cold)
-	add("the same with nothing allowed for chance", "part", r.counts.ColdPeakMeanLoad, nil, cold)
-	add("cold backends that fell", "backends", float64(r.counts.Overloaded), scale.Target(0), cold)
+	add("the same with nothing allowed for chance", "part", r.counts.ColdPeakSustainableRatio, nil, cold)
+	add("cold backends that fell", "backends", float64(r.counts.OverloadCrashes), scale.Target(0), cold)
 	for _, p := range []struct {
 		name string
 		phase
--- a/internal/scale/ramp/ramp_test.go
+++ b/internal/scale/ramp/ramp_test.go
@@ -36,7 +36,7 @@
 		t.Run(c.String(), func(t *testing.T) {
 			m := measureOnce(t, c)
 			counts := m.counts
-			if counts.ColdPeakLoad > 1 || counts.ColdPeakMeanLoad <= 0 || counts.Overloaded != 0 ||
+			if counts.ColdPeakLoad > 1 || counts.ColdPeakSustainableRatio <= 0 || counts.OverloadCrashes != 0 ||
 				counts.ColdArrivals == 0 || counts.Reset == 0 {
 				t.Errorf("counts %+v", counts)
 			}
@@ -66,7 +66,7 @@
 func TestFiguresShowOverloadedBackend(t *testing.T) {
 	c := scenario{callers: 33, load: 0.6, overloadFactor: 0.02}
 	r := measureOnce(t, c)
-	if r.counts.Overloaded != 1 || r.counts.ColdPeakLoad <= 1 {
+	if r.counts.OverloadCrashes != 1 || r.counts.ColdPeakLoad <= 1 {
 		t.Errorf("counts %+v", r.counts)
 	}
 	missed := 0
