--- a/internal/emulator/hollow/discovery_test.go
+++ b/internal/emulator/hollow/discovery_test.go
@@ -15,18 +15,19 @@
 
 const watchedList = "service"
 
-// discoveryTest is a proxy with an emulated discovery service of one replica.
+// discoveryTest is a test of a proxy with an emulated discovery service that has one replica.
 type discoveryTest struct {
 	*testing.T
 	service *registry.Service
 	proxy   *Proxy
 
-	mu      sync.Mutex
-	calls   map[string]int // attempts, by endpoint
-	applied chan time.Time // when the balancer applied an update
+	mu       sync.Mutex
+	attempts map[string]int // number of attempts by endpoint
+	applied  chan time.Time // times at which the balancer applied an update
 }
 
-// runDiscoveryTest runs a test in a synctest bubble, with a list that is pushed and with one that is polled.
+// runDiscoveryTest runs a test twice, in synctest bubbles: with an endpoint list that is pushed and with one that is
+// polled.
 func runDiscoveryTest(t *testing.T, known *discovery.List, test func(*discoveryTest)) {
 	t.Helper()
 	for _, mode := range []struct {
@@ -46,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &discoveryTest{T: t, service: service, calls: map[string]int{}, applied: make(chan time.Time, 100)}
+	d := &discoveryTest{T: t, service: service, attempts: map[string]int{}, applied: make(chan time.Time, 100)}
 	settings := testSettings()
 	settings.SubscribeRequired, settings.MaxPollInterval = poll, 10_000_000
 	d.proxy, err = New(Config{Name: "p", Settings: settings, Zones: []string{"z"}, Seed: 1, Known: known, Upstream: d,
@@ -59,7 +60,7 @@
 	return d
 }
 
-// run runs the proxy during the test.
+// run runs the test while the proxy is running.
 func (d *discoveryTest) run(test func(*discoveryTest)) {
 	d.Helper()
 	defer d.service.Close()
@@ -75,7 +76,7 @@
 func (d *discoveryTest) Attempt(_ context.Context, endpoint string, _ Call) balancer.Status {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.calls[endpoint]++
+	d.attempts[endpoint]++
 	return balancer.OK
 }
 
@@ -86,22 +87,23 @@
 	}
 }
 
-func backend(name string, status discovery.Status) discovery.Endpoint {
+func testEndpoint(name string, status discovery.Status) discovery.Endpoint {
 	return discovery.Endpoint{Name: name, Address: "127.0.0.1:1", Zone: "z", Status: status}
 }
 
-// expectCalls makes ten calls, and checks how many of them each endpoint gets.
+// expectCalls makes ten calls and checks how many attempts each endpoint gets. The calls must be served unless want is
+// empty.
 func (d *discoveryTest) expectCalls(want map[string]int) {
 	d.Helper()
-	clear(d.calls)
+	clear(d.attempts)
 	for i := range 10 {
 		if got := d.proxy.Call(d.Context(), Call{ID: string(rune('0' + i))}); got.Outcome != Served && len(want) > 0 {
 			d.Errorf("call %d: %+v", i, got)
 		}
 	}
-	for name, calls := range d.calls {
-		if calls != want[name] {
-			d.Errorf("endpoint %s got %d calls, want %d", name, calls, want[name])
+	for name, attempts := range d.attempts {
+		if attempts != want[name] {
+			d.Errorf("endpoint %s got %d attempts, want %d", name, attempts, want[name])
 		}
 	}
 }
@@ -109,32 +111,32 @@
 func TestListUpdateMovesCalls(t *testing.T) {
 	runDiscoveryTest(t, nil, func(d *discoveryTest) {
 		d.expectCalls(nil)
-		d.publish(backend("a", discovery.Serving))
+		d.publish(testEndpoint("a", discovery.Serving))
 		time.Sleep(time.Second)
 		d.expectCalls(map[string]int{"a": 10})
-		d.publish(backend("a", discovery.Draining), backend("b", discovery.Serving))
-		accepted := time.Now()
+		d.publish(testEndpoint("a", discovery.Draining), testEndpoint("b", discovery.Serving))
+		published := time.Now()
 		for len(d.applied) > 0 {
 			<-d.applied
 		}
-		if took := (<-d.applied).Sub(accepted); took > 20*time.Millisecond {
-			d.Errorf("the update was applied after %v", took)
+		if took := (<-d.applied).Sub(published); took > 20*time.Millisecond {
+			d.Errorf("the update was applied after %v, want at most 20ms", took)
 		}
 		d.expectCalls(map[string]int{"b": 10})
 	})
 }
 
 func TestKnownListServesUntilDiscoveryResponds(t *testing.T) {
-	known := &discovery.List{Index: 1, Snapshot: true, Endpoints: []discovery.Endpoint{backend("old", discovery.Serving)}}
+	known := &discovery.List{Index: 1, Snapshot: true, Endpoints: []discovery.Endpoint{testEndpoint("old", discovery.Serving)}}
 	runDiscoveryTest(t, known, func(d *discoveryTest) {
 		d.service.RejectRequests(1)
-		d.publish(backend("new", discovery.Serving))
+		d.publish(testEndpoint("new", discovery.Serving))
 		time.Sleep(10 * time.Second)
 		d.expectCalls(map[string]int{"old": 10})
 		d.service.RejectRequests(0)
 		recovered := time.Now()
 		if took := (<-d.applied).Sub(recovered); took > 2500*time.Millisecond {
-			d.Errorf("the update was applied %v after the recovery", took)
+			d.Errorf("the update was applied %v after the recovery, want at most 2.5s", took)
 		}
 		d.expectCalls(map[string]int{"new": 10})
 	})
@@ -142,11 +144,11 @@
 
 func TestSilentWatchIsReplaced(t *testing.T) {
 	runDiscoveryTest(t, nil, func(d *discoveryTest) {
-		d.publish(backend("a", discovery.Serving))
+		d.publish(testEndpoint("a", discovery.Serving))
 		time.Sleep(time.Second)
 		d.service.SilenceWatches()
-		d.publish(backend("a", discovery.Deleted), backend("b", discovery.Serving))
-		time.Sleep(3100 * time.Millisecond) // a watch of 2.5 s, its time-out of 0.5 s and, where the list is polled, the next call
+		d.publish(testEndpoint("a", discovery.Deleted), testEndpoint("b", discovery.Serving))
+		time.Sleep(3100 * time.Millisecond) // the watch of 2.5 s, its timeout of 0.5 s and, if the list is polled, the next call
 		d.expectCalls(map[string]int{"b": 10})
 	})
 }
--- a/internal/emulator/hollow/generator.go
+++ b/internal/emulator/hollow/generator.go
@@ -8,23 +8,25 @@
 	"baylock/balancer"
 )
 
-// The streams of random numbers that a Proxy draws from its seed, besides the balancer's.
+// The stream numbers of the random number generators that a Proxy seeds with its Seed,
+// besides the balancer's.
 const (
 	clientStream uint64 = iota + 1
 	generatorStream
 )
 
-// generatedKeys is the number of different keys of generated calls.
+// generatedKeys is the number of distinct keys of generated calls.
 const generatedKeys = 1000
 
-// generator generates calls by a Poisson process: classes evenly, tenants by their shares.
+// generator generates calls as a Poisson process. All classes are equally likely; the
+// probability of a tenant is proportional to its QuotaFraction.
 type generator struct {
 	name       string
 	settings   balancer.Settings
-	rate       float64 // calls a second
+	rate       float64 // calls per second
 	random     *rand.Rand
-	count      uint64  // of calls so far
-	totalShare float64 // of all tenants
+	count      uint64  // calls generated so far
+	totalShare float64 // sum of the QuotaFraction of all tenants
 }
 
 func newGenerator(cfg Config) *generator {
@@ -40,12 +42,12 @@
 	return g
 }
 
-// nextInterval draws the time until the next call.
+// nextInterval returns the random time from one call to the next.
 func (g *generator) nextInterval() time.Duration {
 	return time.Duration(g.random.ExpFloat64() / g.rate * float64(time.Second))
 }
 
-// nextCall draws the next call. It has no deadline.
+// nextCall returns a new random call. It has no deadline, so that of its class applies.
 func (g *generator) nextCall() Call {
 	g.count++
 	call := Call{ID: g.name + "-" + strconv.FormatUint(g.count, 10)}
@@ -58,6 +60,8 @@
 	return call
 }
 
+// nextTenant returns the index of a random tenant, weighted by QuotaFraction; 0 if there
+// are no tenants.
 func (g *generator) nextTenant() int {
 	x := g.random.Float64() * g.totalShare
 	for i, tenant := range g.settings.Tenants {
--- a/internal/emulator/hollow/hollow.go
+++ b/internal/emulator/hollow/hollow.go
@@ -1,6 +1,7 @@
-// Package hollow emulates proxies without client sockets, so that one process holds a thousand of them. Each has the
-// real discovery client, and the real balancer in an event loop of its own. Time is that of package time, so that a
-// Proxy also runs under testing/synctest.
+// Package hollow emulates proxies without client and backend sockets, so that one process can hold a thousand of them.
+// A hollow proxy takes calls from Go callers or from its own generator, and hands attempts to an Upstream in the same
+// process. It uses the real discovery client, and runs the real balancer in its own event loop. It uses the clock and
+// timers of package time, so that a Proxy also runs under testing/synctest.
 package hollow
 
 import (
@@ -18,12 +19,12 @@
 
 // Call is one request that a Proxy balances.
 type Call struct {
-	ID       string // unique among the unanswered calls of its Proxy
+	ID       string // unique among the calls of its Proxy that are unanswered or have an attempt in flight
 	Class    int
 	Tenant   int
 	Key      string
-	Deadline time.Time // zero: that of its class
-	Depth    int       // tier that it is for; not used by the Proxy
+	Deadline time.Time // zero: use the deadline of its class
+	Depth    int       // number of the tier that the call is for; not used by the Proxy
 }
 
 // Outcome is how a call ended.
@@ -31,23 +32,23 @@
 
 // The outcomes of a call.
 const (
-	Failed   Outcome = iota // it may have run
+	Failed   Outcome = iota // the call may have run
 	Served                  // answered by a backend
-	Rejected                // not run; a retry is safe
+	Rejected                // the call did not run, so a retry is safe
 )
 
 // Result is the final answer of a call.
 type Result struct {
 	Outcome    Outcome
-	RetryAfter time.Duration // hint of a rejection; 0: none
+	RetryAfter time.Duration // when to retry a rejected call; 0: unknown
 	Attempts   int           // attempts that were sent
 }
 
 // Upstream sends attempts to the backends.
 type Upstream interface {
-	// Attempt sends a call to an endpoint and blocks until its outcome. The context ends at the attempt's time-out,
-	// which is call.Deadline, or when the attempt is cancelled; Attempt then returns balancer.Cancelled at once, and
-	// the Proxy tells the two apart. Each Attempt is called on a goroutine of its own.
+	// Attempt sends a call to an endpoint and blocks until its outcome. The context ends at call.Deadline, when the
+	// attempt times out, or earlier if the attempt is cancelled. In both cases Attempt returns balancer.Cancelled at
+	// once, and the Proxy distinguishes a timeout from a cancellation. Each attempt runs on its own goroutine.
 	Attempt(ctx context.Context, endpoint string, call Call) balancer.Status
 }
 
@@ -56,50 +57,51 @@
 	Name     string
 	Settings balancer.Settings
 	Zones    []string // names; Settings.Zone is an index into them
-	Seed     uint64   // of all random draws
+	Seed     uint64   // of all random values
 
-	// Discovery holds the Address and Dial of the discovery service. The other options follow from Settings and
-	// Known, as in the real proxy. Without an Address the Known list stays in force.
+	// Discovery holds the Address of the discovery service and, optionally, Dial, Log and Random. The Proxy derives
+	// the other options from Settings and Known, as the real proxy does. Without an Address the Proxy runs no
+	// discovery client and keeps the Known list.
 	Discovery discovery.Options
-	Known     *discovery.List // the endpoint list as last known; may be nil
+	Known     *discovery.List // the last known endpoint list; may be nil
 
 	Upstream Upstream // may be nil if there are no calls
-	// OnListApplied is called by the loop each time the balancer has applied an update from discovery. It must return
-	// soon, and may be nil.
+	// OnListApplied is called by the event loop each time the balancer has applied a list from discovery. It must not
+	// block, and may be nil.
 	OnListApplied func(list *discovery.List, at time.Time)
 
-	CallRate float64            // generated calls a second, a Poisson process; 0: none
-	OnResult func(Call, Result) // called by the loop with the final answer of each generated call; may be nil
+	CallRate float64            // mean rate of generated calls per second, a Poisson process; 0: none
+	OnResult func(Call, Result) // called by the event loop when a generated call ends; may be nil
 }
 
 func (c *Config) check() error {
 	switch {
 	case !(c.CallRate >= 0):
-		return fmt.Errorf("CallRate %v is negative", c.CallRate)
+		return fmt.Errorf("CallRate %v is negative or not a number", c.CallRate)
 	case c.CallRate > 0 && c.Upstream == nil:
-		return errors.New("CallRate without an Upstream")
+		return errors.New("CallRate is set, but Upstream is nil")
 	case len(c.Zones) != c.Settings.Zones:
 		return fmt.Errorf("%d Zones, but Settings.Zones is %d", len(c.Zones), c.Settings.Zones)
 	}
 	return nil
 }
 
-// Proxy is one hollow proxy.
+// Proxy is a hollow proxy, as described in the package comment.
 type Proxy struct {
 	loop   *loop
 	client *discovery.Client // nil without discovery
 }
 
-// New returns a Proxy that has the known endpoint list. Run runs it.
+// New returns a Proxy whose balancer has the known endpoint list. The Proxy does nothing until Run is called.
 func New(cfg Config) (*Proxy, error) {
 	if err := cfg.check(); err != nil {
 		return nil, fmt.Errorf("hollow proxy: %w", err)
 	}
-	decisions, err := balancer.New(cfg.Settings, cfg.Seed)
+	b, err := balancer.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("hollow proxy: %w", err)
 	}
-	l := newLoop(cfg, decisions)
+	l := newLoop(cfg, b)
 	p := &Proxy{loop: l}
 	if cfg.Known != nil {
 		l.applyList(balancer.CachedUpdate, cfg.Known)
@@ -110,7 +112,7 @@
 	return p, nil
 }
 
-// newClient returns a discovery client with the options of a real proxy's.
+// newClient returns a discovery client with the same options as that of a real proxy.
 func newClient(cfg Config, l *loop) *discovery.Client {
 	o := cfg.Discovery
 	o.Known, o.Poll, o.AwaitRequest = discovery.NoVersion, cfg.Settings.SubscribeRequired, false
@@ -127,7 +129,8 @@
 	return discovery.NewClient(o)
 }
 
-// Run runs the Proxy until the context ends, and returns when all of its goroutines have ended. It is called once.
+// Run runs the Proxy until the context ends, and returns when all of its goroutines have ended. It must be called only
+// once.
 func (p *Proxy) Run(ctx context.Context) {
 	var client sync.WaitGroup
 	if p.client != nil {
@@ -137,8 +140,8 @@
 	client.Wait()
 }
 
-// Call hands a call to the Proxy and blocks until its final answer. A call whose context ends is cancelled and failed,
-// and so is one that is open when Run ends.
+// Call makes a call through the Proxy and blocks until its final answer. If the context or Run ends before that, the
+// call is cancelled and fails.
 func (p *Proxy) Call(ctx context.Context, call Call) Result {
 	r := &request{call: call, result: make(chan Result, 1)}
 	if !p.loop.post(ctx, event{kind: callArrived, request: r}) {
@@ -152,7 +155,7 @@
 		p.loop.post(context.WithoutCancel(ctx), event{kind: callCancelled, request: r})
 	}
 	select {
-	case result := <-r.result: // it came first
+	case result := <-r.result: // the answer came before the cancellation
 		return result
 	default:
 		return Result{}
--- a/internal/emulator/hollow/hollow_test.go
+++ b/internal/emulator/hollow/hollow_test.go
@@ -31,7 +31,7 @@
 		}}
 }
 
-// testList has endpoints a, b and so on.
+// testList returns a list of the given number of endpoints, named a, b and so on.
 func testList(endpoints int) *discovery.List {
 	list := &discovery.List{Index: 1, Snapshot: true}
 	for i := range endpoints {
@@ -41,20 +41,20 @@
 	return list
 }
 
-// upstreamFunc is a function that implements Upstream.
+// upstreamFunc implements Upstream with a function.
 type upstreamFunc func(ctx context.Context, endpoint string, call Call) balancer.Status
 
 func (f upstreamFunc) Attempt(ctx context.Context, endpoint string, call Call) balancer.Status {
 	return f(ctx, endpoint, call)
 }
 
-// hang never answers.
+// hang is an upstreamFunc that never answers and blocks until the context ends.
 func hang(ctx context.Context, _ string, _ Call) balancer.Status {
 	<-ctx.Done()
 	return balancer.Cancelled
 }
 
-// start runs a proxy until stop is called, in a synctest bubble.
+// start starts a proxy in a synctest bubble. The proxy runs until stop is called.
 func start(t *testing.T, cfg Config) (p *Proxy, stop func()) {
 	t.Helper()
 	cfg.Name, cfg.Zones = "p", []string{"z"}
@@ -103,44 +103,44 @@
 				}
 				synctest.Wait()
 				if n := len(p.loop.requests) + p.loop.timers.Len(); n != 0 {
-					t.Errorf("%d requests and timers are left", n)
+					t.Errorf("%d requests and timers remain after the final answer", n)
 				}
 			})
 		})
 	}
 }
 
-func TestCallToSilentBackendFailsAtDeadline(t *testing.T) {
+func TestCallToUnresponsiveBackendFailsAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, stop := start(t, Config{Settings: testSettings(), Known: testList(1), Upstream: upstreamFunc(hang), Seed: 1})
 		defer stop()
 		began := time.Now()
 		got := p.Call(t.Context(), Call{ID: "c", Class: nonIdempotentClass, Deadline: began.Add(time.Second)})
 		if took := time.Since(began); got != (Result{Attempts: 1}) || took != time.Second {
-			t.Errorf("got %+v after %v", got, took)
+			t.Errorf("got %+v after %v; want a failure after 1 attempt and 1s", got, took)
 		}
 	})
 }
 
 func TestAttemptHasDeadlineOfCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var seen Call
+		var received Call
 		upstream := upstreamFunc(func(ctx context.Context, _ string, call Call) balancer.Status {
 			if end, _ := ctx.Deadline(); !end.Equal(call.Deadline) {
-				t.Errorf("the context ends at %v, the attempt at %v", end, call.Deadline)
+				t.Errorf("the deadline of the context is %v, that of the attempt %v", end, call.Deadline)
 			}
-			seen = call
+			received = call
 			return balancer.OK
 		})
 		p, stop := start(t, Config{Settings: testSettings(), Known: testList(1), Upstream: upstream, Seed: 1})
 		defer stop()
 		given := Call{ID: "c", Class: nonIdempotentClass, Key: "k", Deadline: time.Now().Add(300 * time.Millisecond), Depth: 4}
 		p.Call(t.Context(), given)
-		if !seen.Deadline.Equal(given.Deadline) {
-			t.Errorf("the attempt ends at %v, the call at %v", seen.Deadline, given.Deadline)
+		if !received.Deadline.Equal(given.Deadline) {
+			t.Errorf("the deadline of the attempt is %v, that of the call %v", received.Deadline, given.Deadline)
 		}
-		if seen.Deadline = given.Deadline; seen != given {
-			t.Errorf("the backend got %+v, the proxy %+v", seen, given)
+		if received.Deadline = given.Deadline; received != given {
+			t.Errorf("the backend received %+v, the proxy %+v", received, given)
 		}
 	})
 }
@@ -156,7 +156,7 @@
 		}
 		synctest.Wait()
 		if len(p.loop.requests) != 0 {
-			t.Error("its attempt is still in flight")
+			t.Error("the attempt of the cancelled call is still in flight")
 		}
 	})
 }
@@ -176,7 +176,7 @@
 		stop()
 		calls.Wait()
 		if got := p.Call(t.Context(), Call{ID: "late"}); got != (Result{}) {
-			t.Errorf("after the end: %+v", got)
+			t.Errorf("call after the end of Run: got %+v", got)
 		}
 	})
 }
@@ -189,15 +189,15 @@
 		go func() { first <- p.Call(t.Context(), Call{ID: "c", Class: nonIdempotentClass}) }()
 		synctest.Wait()
 		if got := p.Call(t.Context(), Call{ID: "c"}); got != (Result{}) {
-			t.Errorf("the second: %+v", got)
+			t.Errorf("second call with the same ID: got %+v", got)
 		}
 		if got := <-first; got.Attempts != 1 {
-			t.Errorf("the first: %+v", got)
+			t.Errorf("first call: got %+v", got)
 		}
 	})
 }
 
-// generateCalls runs a proxy that generates calls for a while, and returns those that were answered.
+// generateCalls runs a proxy that generates calls for the given time, and returns the calls that were answered.
 func generateCalls(t *testing.T, seed uint64, rate float64, span time.Duration) (calls []Call) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -224,7 +224,7 @@
 	const rate, span = 134, 20 * time.Second
 	calls := generateCalls(t, 7, rate, span)
 	if !slices.Equal(calls, generateCalls(t, 7, rate, span)) {
-		t.Error("the same seed gave other calls")
+		t.Error("the same seed gave different calls")
 	}
 	if slices.Equal(calls, generateCalls(t, 8, rate, span)) {
 		t.Error("another seed gave the same calls")
@@ -249,7 +249,7 @@
 		}
 	}
 	if len(keys) < generatedKeys/2 {
-		t.Errorf("%d different keys", len(keys))
+		t.Errorf("only %d different keys", len(keys))
 	}
 }
 
@@ -258,7 +258,7 @@
 	for _, test := range []struct {
 		name   string
 		change func(*Config)
-		want   string // in the error
+		want   string // substring of the error
 	}{
 		{"negative rate", func(c *Config) { c.CallRate = -1 }, "CallRate"},
 		{"rate not a number", func(c *Config) { c.CallRate = math.NaN() }, "CallRate"},
--- a/internal/emulator/hollow/loop.go
+++ b/internal/emulator/hollow/loop.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// expiryGrace is the time after a request's deadline within which the balancer answers it. Afterwards the loop
-	// fails it by itself.
+	// expiryGrace is how long the loop waits after a request's deadline for the balancer's answer. After that it fails
+	// the request itself.
 	expiryGrace = 10 * time.Millisecond
 
-	eventBuffer = 16 // events that do not block their senders
+	eventBuffer = 16 // capacity of the event channel; senders block while it is full
 )
 
 type eventKind uint8
@@ -27,25 +27,25 @@
 	attemptEnded
 )
 
-// event is an event for the loop. Updates of the endpoint list have a channel of their own.
+// event is an event for the loop. Updates of the endpoint list use a separate channel.
 type event struct {
 	kind    eventKind
 	request *request
-	attempt *attempt        // of attemptEnded
-	status  balancer.Status // of attemptEnded
+	attempt *attempt        // only with attemptEnded
+	status  balancer.Status // only with attemptEnded
 }
 
-// request is the loop's state of one call. Only call and result are set before the loop has it.
+// request is the loop's state of one call. Only call and result are set before the loop receives it.
 type request struct {
 	call   Call
-	result chan Result // receives the one final answer without blocking; nil for a generated call
-
-	deadline     balancer.Microseconds
-	done         bool // it has its final answer
-	sendCount    int  // attempts that the balancer has decided
-	attemptCount int  // of these, those that were sent
-	inFlight     *attempt
-	expiryTimer  *timing.Timer[timerEvent]
+	result chan Result // buffered, so that sending the only answer never blocks; nil for a generated call
+
+	deadline          balancer.Microseconds
+	done              bool // the request has its final answer
+	attemptsRequested int  // number of Send calls of the balancer
+	attemptsSent      int  // number of those calls whose attempt was sent
+	inFlight          *attempt
+	expiryTimer       *timing.Timer[timerEvent]
 }
 
 // attempt is one attempt of a request.
@@ -56,8 +56,8 @@
 	cancel  context.CancelFunc // nil if the attempt was not sent
 }
 
-// loop owns the balancer and the table of requests. It hands the balancer one event after the other, and implements
-// balancer.Host to carry out its decisions.
+// loop is the event loop of a Proxy. It owns the balancer and the table of requests, passes events to the balancer one
+// at a time, and implements balancer.Host to carry out the balancer's decisions.
 type loop struct {
 	cfg       Config
 	balancer  *balancer.Balancer
@@ -67,14 +67,14 @@
 
 	events        chan event
 	updates       chan discovery.Update
-	watchRequests chan struct{} // the balancer asks for a watch of the endpoint list
-	done          chan struct{} // closed when the loop has ended
-
-	requests        map[string]*request // by ID, until they are done and have no attempt in flight
-	timers          timing.Queue[timerEvent]
-	unsent          []*attempt      // attempts that cannot be sent; their outcomes follow the present event
-	running         sync.WaitGroup  // of attempts in flight
-	attemptsContext context.Context // of all attempts
+	watchRequests chan struct{} // holds an element if the balancer has requested a watch of the endpoint list
+	done          chan struct{} // closed when the loop ends
+
+	requests          map[string]*request // by ID; a request stays until it is done and has no attempt in flight
+	timers            timing.Queue[timerEvent]
+	unsent            []*attempt      // attempts that could not be sent, to be reported after the current event
+	attemptGoroutines sync.WaitGroup  // one for each attempt in flight
+	attemptsContext   context.Context // parent of the contexts of all attempts
 }
 
 func newLoop(cfg Config, balancer *balancer.Balancer) *loop {
@@ -94,7 +94,7 @@
 
 // run handles events until the context ends, and then waits until every attempt has ended.
 func (l *loop) run(ctx context.Context) {
-	defer l.running.Wait()
+	defer l.attemptGoroutines.Wait()
 	defer close(l.done)
 	attempts, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -111,8 +111,9 @@
 	}
 }
 
-// waitForEvent waits for one event and handles it. It returns false once the context has ended. Updates of the endpoint
-// list come first: nothing may be sent to a backend that is known to drain.
+// waitForEvent waits for one event and handles it, or returns when a timer is due. It returns false if the context has
+// ended. Updates of the endpoint list take precedence over other events, because nothing may be sent to a backend that
+// is known to be draining.
 func (l *loop) waitForEvent(ctx context.Context, wakeUp *time.Timer) bool {
 	select {
 	case update := <-l.updates:
@@ -143,7 +144,7 @@
 	}
 }
 
-// post hands an event to the loop. It returns false if the loop or the context has ended.
+// post sends an event to the loop. It returns false if the loop or the context has ended.
 func (l *loop) post(ctx context.Context, e event) bool {
 	select {
 	case l.events <- e:
@@ -154,7 +155,8 @@
 	return false
 }
 
-// reportUnsent reports the outcomes of attempts that could not be sent, until the balancer decides no more of them.
+// reportUnsent reports the attempts that could not be sent to the balancer. It repeats this while the balancer
+// responds with further attempts that cannot be sent.
 func (l *loop) reportUnsent() {
 	for len(l.unsent) > 0 {
 		a := l.unsent[0]
@@ -181,15 +183,15 @@
 }
 
 // scheduleNextCall sets the timer of the next generated call, if there is a call rate. The interval begins when the
-// last call was due, not when its timer fired, as the rate would otherwise fall short.
-func (l *loop) scheduleNextCall(last balancer.Microseconds) {
+// previous call was due, not when its timer fired; otherwise late timers would reduce the rate.
+func (l *loop) scheduleNextCall(previous balancer.Microseconds) {
 	if l.cfg.CallRate > 0 {
-		due := last + microtime.FromDuration(l.generator.nextInterval())
+		due := previous + microtime.FromDuration(l.generator.nextInterval())
 		l.timers.Add(timing.NewTimer(due, timerEvent{kind: nextCallTimer}))
 	}
 }
 
-// handleUpdate hands an update from discovery to the balancer.
+// handleUpdate passes an update from discovery to the balancer.
 func (l *loop) handleUpdate(update discovery.Update) {
 	if update.List == nil {
 		l.balancer.UpdateEndpoints(l.clock.Now(), l, balancer.FailedUpdate, nil)
--- a/internal/emulator/hollow/request.go
+++ b/internal/emulator/hollow/request.go
@@ -11,9 +11,9 @@
 	"baylock/internal/timing"
 )
 
-// handleCall hands a call to the balancer.
+// handleCall passes a call to the balancer. A call with the ID of another one in the table fails.
 func (l *loop) handleCall(r *request) {
-	if l.requests[r.call.ID] != nil { // two calls with one ID cannot be told apart
+	if l.requests[r.call.ID] != nil { // two calls with the same ID cannot be distinguished
 		l.finish(r, Result{})
 		return
 	}
@@ -32,7 +32,7 @@
 	})
 }
 
-// deadline is a call's deadline, or that of its class.
+// deadline returns a call's own deadline, or that of its class if it has none.
 func (l *loop) deadline(now balancer.Microseconds, call Call) balancer.Microseconds {
 	if !call.Deadline.IsZero() {
 		return l.clock.At(call.Deadline)
@@ -49,7 +49,7 @@
 		return
 	}
 	r.done = true
-	result.Attempts = r.attemptCount
+	result.Attempts = r.attemptsSent
 	if r.result != nil {
 		r.result <- result
 	} else if l.cfg.OnResult != nil {
@@ -58,7 +58,7 @@
 	l.release(r)
 }
 
-// release removes a request that is done and has no attempt in flight.
+// release removes a request from the table if it is done and has no attempt in flight.
 func (l *loop) release(r *request) {
 	if !r.done || r.inFlight != nil || l.requests[r.call.ID] != r {
 		return
@@ -67,7 +67,7 @@
 	l.timers.Remove(r.expiryTimer)
 }
 
-// cancelCall fails a request and cancels its attempt.
+// cancelCall fails a request that has no final answer yet, and cancels its attempt.
 func (l *loop) cancelCall(r *request) {
 	if r.done {
 		return
@@ -79,7 +79,8 @@
 	}
 }
 
-// handleOutcome reports the outcome of an attempt to the balancer. A served request gets its answer first.
+// handleOutcome reports the outcome of an attempt to the balancer. If the attempt was successful, the request gets
+// its final answer before that.
 func (l *loop) handleOutcome(a *attempt, status balancer.Status) {
 	r := a.request
 	if r.inFlight == a {
@@ -99,11 +100,11 @@
 	l.release(r)
 }
 
-// Send implements balancer.Host. An attempt is sent at once, so the time until which its last byte has to reach the
-// endpoint does not matter.
+// Send implements balancer.Host. It sends the attempt at once, so it can ignore the time by which the attempt's
+// last byte must reach the endpoint.
 func (l *loop) Send(id, endpoint string, timeout, _ balancer.Microseconds) {
 	r := l.requests[id]
-	if r == nil { // the balancer knows the requests of the table alone
+	if r == nil { // the balancer knows only requests of the table
 		panic("hollow proxy: send of unknown request " + strconv.Quote(id))
 	}
 	now := l.clock.Now()
@@ -111,24 +112,24 @@
 	if timeout != 0 {
 		deadline = min(deadline, now+timeout)
 	}
-	a := &attempt{request: r, number: r.sendCount, sent: now}
-	r.sendCount++
-	if l.cfg.Upstream == nil || r.done || r.inFlight != nil { // a request has one attempt in flight at most
+	a := &attempt{request: r, number: r.attemptsRequested, sent: now}
+	r.attemptsRequested++
+	if l.cfg.Upstream == nil || r.done || r.inFlight != nil { // a request has at most one attempt in flight
 		l.unsent = append(l.unsent, a)
 		return
 	}
 	r.inFlight = a
-	r.attemptCount++
+	r.attemptsSent++
 	l.startAttempt(a, endpoint, l.clock.Time(deadline))
 }
 
-// startAttempt sends an attempt and posts its outcome.
+// startAttempt sends an attempt on a new goroutine, which posts the outcome to the loop.
 func (l *loop) startAttempt(a *attempt, endpoint string, deadline time.Time) {
 	ctx, cancel := context.WithDeadline(l.attemptsContext, deadline)
 	a.cancel = cancel
 	call := a.request.call
 	call.Deadline = deadline
-	l.running.Go(func() {
+	l.attemptGoroutines.Go(func() {
 		defer cancel()
 		status := l.cfg.Upstream.Attempt(ctx, endpoint, call)
 		if status == balancer.Cancelled && errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -157,7 +158,8 @@
 	l.timers.Add(timing.NewTimer(l.clock.Now()+delay, timerEvent{kind: balancerTimer, token: token}))
 }
 
-// Subscribe implements balancer.Host. Where the list is pushed, the client watches it anyway.
+// Subscribe implements balancer.Host. It requests a watch from the discovery client; a client whose list is pushed
+// needs no request.
 func (l *loop) Subscribe() {
 	select {
 	case l.watchRequests <- struct{}{}:
@@ -165,5 +167,5 @@
 	}
 }
 
-// Log implements balancer.Host. The log lines of a thousand balancers are dropped.
+// Log implements balancer.Host. It discards the log lines, as a process may have a thousand balancers.
 func (l *loop) Log(string) {}
--- a/internal/emulator/hollow/timer.go
+++ b/internal/emulator/hollow/timer.go
@@ -1,16 +1,16 @@
 package hollow
 
-// timerEvent is what happens when a timer of the loop fires.
+// timerEvent tells the loop what to do when a timer fires.
 type timerEvent struct {
 	kind    timerKind
-	token   string   // of a balancerTimer
-	request *request // of a requestExpiryTimer
+	token   string   // only with balancerTimer
+	request *request // only with requestExpiryTimer
 }
 
 type timerKind uint8
 
 const (
-	balancerTimer      timerKind = iota // the balancer asked for it
-	requestExpiryTimer                  // a request is still open some time after its deadline
+	balancerTimer      timerKind = iota // set by the balancer with SetTimer
+	requestExpiryTimer                  // expiryGrace has passed since a request's deadline
 	nextCallTimer                       // the next generated call is due
 )
