--- a/internal/emulator/registry/capacity_test.go
+++ b/internal/emulator/registry/capacity_test.go
@@ -12,13 +12,13 @@
 
 // requestResult is the result of one of several concurrent requests.
 type requestResult struct {
-	request int
+	request int // index in the order of the requests
 	status  int
 	took    time.Duration
 }
 
-// concurrentRequests makes requests one after the other at one time, and returns their results in order of the
-// responses.
+// concurrentRequests starts requests in a fixed order at the same time of the bubble's clock, and returns their results
+// in the order of the responses.
 func concurrentRequests(t *testing.T, s *Service, number int, query string) []requestResult {
 	t.Helper()
 	c := newTestClient(s.Dialer(testList, eastClient))
@@ -40,7 +40,7 @@
 	return out
 }
 
-// Queued requests are served in order at the capacity; those that would wait too long are rejected.
+// Queued requests are served in order at the replica's capacity. Requests that would be queued for too long are rejected.
 func TestRequestsBeyondCapacityAreQueuedOrRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		config := oneReplicaConfig(true)
@@ -49,12 +49,12 @@
 		results := concurrentRequests(t, s, 20, "")
 		for i, r := range results[:9] { // the rejected ones
 			if r.status != http.StatusServiceUnavailable || r.took != 0 || r.request != 11+i {
-				t.Errorf("answer %d: %+v", i, r)
+				t.Errorf("response %d: %+v", i, r)
 			}
 		}
 		for i, r := range results[9:] {
 			if want := time.Duration(i+1) * 100 * time.Millisecond; r.status != http.StatusOK || r.took != want || r.request != i {
-				t.Errorf("answer %d: %+v, want after %v", 9+i, r, want)
+				t.Errorf("response %d: %+v, want after %v", 9+i, r, want)
 			}
 		}
 		u := s.Usage()[0]
@@ -74,7 +74,7 @@
 		for i, r := range results {
 			want := 5*time.Second + time.Duration(i+1)*100*time.Millisecond
 			if r.status != http.StatusOK || r.took != want {
-				t.Errorf("answer %d: %+v, want after %v", i, r, want)
+				t.Errorf("response %d: %+v, want after %v", i, r, want)
 			}
 		}
 	})
@@ -104,7 +104,7 @@
 			}
 		}
 		if rejected < 75 || rejected > 125 {
-			t.Errorf("%d of 400 requests rejected", rejected)
+			t.Errorf("%d of 400 requests rejected, want 75 to 125", rejected)
 		}
 		if n := s.Usage()[0].Rejected; n != int64(rejected) {
 			t.Errorf("usage has %d rejected, want %d", n, rejected)
@@ -137,7 +137,7 @@
 		}
 		perRequest := (u.BytesIn + u.BytesOut) / 8
 		if u.BytesIn < 8*100 || u.BytesOut < 8*100 || u.PeakBytes != 5*perRequest {
-			t.Errorf("bytes of usage are %+v", u)
+			t.Errorf("wrong byte counts in usage %+v", u)
 		}
 		again := slices.Concat(s.Usage(), all[1:])
 		for _, u := range again {
--- a/internal/emulator/registry/conn.go
+++ b/internal/emulator/registry/conn.go
@@ -12,27 +12,28 @@
 type client struct {
 	list     string
 	location Location
-	replica  *replica // where the list is pushed: the one that the client's agent follows; may be nil
+	replica  *replica // where the list is pushed: the replica that the client's agent is attached to, or nil
 }
 
-// conn is a client's connection. It counts its bytes. Once silent, it discards all that is written to the client.
+// conn is a client's connection. It counts the bytes read and written. Once silent, it discards all bytes written to
+// the client.
 type conn struct {
 	net.Conn
-	service *Service
-	client  *client
-	replica *replica                // that serves it, where the list is polled; nil: a partition lies between
-	metered atomic.Pointer[replica] // to whose usage its bytes are added
-	silent  atomic.Bool
-	ended   chan struct{}
-	endOnce sync.Once
+	service      *Service
+	client       *client
+	replica      *replica                // where the list is polled: serves the connection; nil if none was reachable
+	usageReplica atomic.Pointer[replica] // the bytes are added to the usage of this replica
+	silent       atomic.Bool
+	ended        chan struct{}
+	endOnce      sync.Once
 
-	watching bool // a watch waits for its response; guarded by Service.mu
+	watching bool // whether a watch is pending; guarded by Service.mu
 }
 
 // Read reads from the client.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if r := c.metered.Load(); r != nil {
+	if r := c.usageReplica.Load(); r != nil {
 		r.usage.addBytesIn(n)
 	}
 	return n, err
@@ -44,7 +45,7 @@
 		return len(p), nil
 	}
 	n, err := c.Conn.Write(p)
-	if r := c.metered.Load(); r != nil {
+	if r := c.usageReplica.Load(); r != nil {
 		r.usage.addBytesOut(n)
 	}
 	return n, err
@@ -55,17 +56,17 @@
 	err := c.Conn.Close()
 	c.endOnce.Do(func() {
 		close(c.ended)
-		c.service.forget(c)
+		c.service.removeConn(c)
 	})
 	return err
 }
 
-// reset closes the connection with an error for the client: over TCP, a RST segment.
+// reset closes the connection so that the client gets an error: over TCP, it sends an RST segment.
 func (c *conn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails only on a connection that has ended
+		_ = tcp.SetLinger(0) // fails only on a closed connection
 	}
-	_ = c.Close() // it is reset either way
+	_ = c.Close() // the connection is unusable even if Close fails
 }
 
 func resetAll(conns []*conn) {
@@ -74,7 +75,7 @@
 	}
 }
 
-// sleep waits; it returns false if the connection ends first.
+// sleep waits for a duration. It returns false if the request or the connection ends first.
 func (c *conn) sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -88,7 +89,7 @@
 	return false
 }
 
-// waitForEnd waits until the connection ends, so that its request gets no response.
+// waitForEnd waits until the request or the connection ends, so that the request gets no response.
 func (c *conn) waitForEnd(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -96,7 +97,7 @@
 	}
 }
 
-// connKey is the context key of a request's conn.
+// connKey is the context key for the conn that a request arrived on.
 type connKey struct{}
 
 func connContext(ctx context.Context, c net.Conn) context.Context {
--- a/internal/emulator/registry/faults.go
+++ b/internal/emulator/registry/faults.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// faults are the injected faults in force.
+// faults are the injected faults that are active.
 type faults struct {
 	cutZones           map[string]bool
 	regionsPartitioned bool
-	rejectRatio        float64 // of all requests
+	rejectRatio        float64 // probability that a valid request is rejected
 	delay              time.Duration
 }
 
-// Kill stops a replica. Its connections are reset, and its clients' next ones go to others.
+// Kill stops a replica. Its connections are reset, except those across a partition, and its clients are served by
+// other replicas.
 func (s *Service) Kill(name string) error {
 	s.mu.Lock()
-	r, err := s.find(name, true)
+	r, err := s.findReplica(name, true)
 	if err != nil {
 		s.mu.Unlock()
 		return err
@@ -29,12 +30,12 @@
 	return nil
 }
 
-// Restart starts a replica that was killed, with a new log. It has its stored changes and those of the live replicas
-// that it reaches.
+// Restart starts a killed replica with a new log. The replica still has its stored changes, and gets those of the live
+// replicas that it can reach before it serves requests.
 func (s *Service) Restart(name string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r, err := s.find(name, false)
+	r, err := s.findReplica(name, false)
 	if err != nil {
 		return err
 	}
@@ -51,8 +52,8 @@
 	return nil
 }
 
-// find returns the replica with the given name if it is in the given state.
-func (s *Service) find(name string, live bool) (*replica, error) {
+// findReplica returns the replica with the given name, or an error if there is none or it is not in the given state.
+func (s *Service) findReplica(name string, live bool) (*replica, error) {
 	for _, r := range s.replicas {
 		if r.Name != name {
 			continue
@@ -65,10 +66,10 @@
 	return nil, fmt.Errorf("unknown replica %q", name)
 }
 
-// replicaStateError reports a fault that needs a replica in the other state.
+// replicaStateError reports that a replica cannot be killed or restarted because it is already down or live.
 type replicaStateError struct {
 	name string
-	live bool // the state that it is in
+	live bool // the current state of the replica
 }
 
 func (e *replicaStateError) Error() string {
@@ -79,7 +80,7 @@
 	return fmt.Sprintf("replica %q is already %s", e.name, state)
 }
 
-// SilenceWatches makes the connections of all present watches silent: they never get a response.
+// SilenceWatches makes the connections of all pending watches silent, so that these watches never get a response.
 func (s *Service) SilenceWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,22 +91,22 @@
 	}
 }
 
-// RejectRequests rejects the given part of all requests from now on; 0 ends it.
+// RejectRequests rejects the given fraction of valid requests, chosen at random, from now on. 0 ends the fault.
 func (s *Service) RejectRequests(ratio float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.rejectRatio = ratio
 }
 
-// DelayRequests delays every request before it is handled, from now on; 0 ends it.
+// DelayRequests delays every valid request before it is handled, from now on. 0 ends the fault.
 func (s *Service) DelayRequests(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.delay = d
 }
 
-// CutZone isolates a zone: its clients reach no replica, and its replicas reach none in other zones. Open connections
-// across the cut are silent for good, and new ones are silent until HealZone, which resets them.
+// CutZone isolates a zone: its clients cannot reach any replica, and its replicas cannot reach those in other zones.
+// Open connections across the cut become silent permanently. New ones are silent until HealZone resets them.
 func (s *Service) CutZone(zone string) {
 	s.changeLinks(func() { s.faults.cutZones[zone] = true })
 }
@@ -115,7 +116,7 @@
 	s.changeLinks(func() { delete(s.faults.cutZones, zone) })
 }
 
-// CutRegions partitions the network between the regions.
+// CutRegions partitions the network, so that the regions cannot reach each other.
 func (s *Service) CutRegions() {
 	s.changeLinks(func() { s.faults.regionsPartitioned = true })
 }
@@ -125,7 +126,7 @@
 	s.changeLinks(func() { s.faults.regionsPartitioned = false })
 }
 
-// changeLinks changes which parts of the network reach each other.
+// changeLinks applies a change of the network links and updates the affected connections.
 func (s *Service) changeLinks(change func()) {
 	s.mu.Lock()
 	change()
@@ -154,7 +155,7 @@
 	return found
 }
 
-// notifyTopologyChange makes every pending request look again for the replica that serves it.
+// notifyTopologyChange wakes every pending request, which then determines again which replica serves it.
 func (s *Service) notifyTopologyChange() {
 	close(s.topologyChanged)
 	s.topologyChanged = make(chan struct{})
--- a/internal/emulator/registry/faults_test.go
+++ b/internal/emulator/registry/faults_test.go
@@ -16,20 +16,20 @@
 	"baylock/internal/discovery"
 )
 
-// updateDeadline is the time within which every client that the service reaches gets a change.
+// updateDeadline is the time within which every client that can reach the service gets a change.
 const updateDeadline = 6 * time.Second
 
 func watchEverywhere(t *testing.T, s *Service) []*watcher {
 	t.Helper()
 	var watchers []*watcher
-	for _, at := range clientsOfAllZones() {
-		watchers = append(watchers, watch(t, s, testList, at))
+	for _, location := range clientsOfAllZones() {
+		watchers = append(watchers, watch(t, s, testList, location))
 		synctest.Wait() // so that they connect in this order
 	}
 	return watchers
 }
 
-// loads returns the number of connections, or of agents, at each replica.
+// loads returns the number of connections or attached agents of each replica.
 func loads(s *Service) []int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,7 +40,7 @@
 	return out
 }
 
-// Nearest is a replica of their zone, else of their region, else any other, and of these the least loaded.
+// Clients prefer replicas in their zone, then in their region, then any other, and use the least loaded of those.
 func TestClientsUseNearestReplica(t *testing.T) {
 	runInBothModes(t, func(t *testing.T, poll bool) {
 		s := startService(t, testConfig(poll))
@@ -51,13 +51,13 @@
 		watch(t, s, testList, Location{Name: "second-in-c", Zone: "c", Region: "east"})
 		synctest.Wait()
 		if got := loads(s); !slices.Equal(got, []int{2, 2, 1, 1}) {
-			t.Errorf("loads with one more: %v", got)
+			t.Errorf("loads with one more client: %v", got)
 		}
 		watch(t, s, testList, Location{Name: "second-in-d", Zone: "d", Region: "west"})
 		watch(t, s, testList, Location{Name: "third-in-d", Zone: "d", Region: "west"})
 		synctest.Wait()
 		if got := loads(s); !slices.Equal(got, []int{2, 2, 3, 1}) {
-			t.Errorf("loads with two more in a zone: %v", got)
+			t.Errorf("loads with two more clients in zone d: %v", got)
 		}
 		must(t, s.Kill("r1"))
 		advance(updateDeadline)
@@ -72,7 +72,7 @@
 	})
 }
 
-// This includes a change that is published right after the kill.
+// Clients of a killed replica also get a change that is published right after the kill.
 func TestKilledReplicaClientsGetChangesFromOthers(t *testing.T) {
 	runInBothModes(t, func(t *testing.T, poll bool) {
 		s := startService(t, testConfig(poll))
@@ -93,24 +93,25 @@
 	})
 }
 
-// It has them before it serves its first request.
+// The restarted replica has the changes before it serves its first request.
 func TestRestartedReplicaHasChangesOfPeers(t *testing.T) {
 	runInBothModes(t, func(t *testing.T, poll bool) {
 		s := startService(t, testConfig(poll))
 		must(t, s.Kill("r1"))
 		publish(t, s, "west", serving("s-1"))
-		advance(replication + epsilon)
+		advance(replicationDelay + epsilon)
 		must(t, s.Restart("r1"))
 		if l := newTestClient(s.Dialer(testList, eastClient)).mustGet(t, ""); len(l.Endpoints) != 1 {
-			t.Errorf("it responds %s", toJSON(t, l))
+			t.Errorf("the restarted replica responds with %s", toJSON(t, l))
 		}
 		if got := s.Usage()[0].Requests; got != 1 {
-			t.Errorf("it has served %d requests", got)
+			t.Errorf("the restarted replica has served %d requests, want 1", got)
 		}
 	})
 }
 
-// The replica has the changes from its peer at its restart, and then receives them again.
+// A replica gets changes from its peer when it restarts, and then receives them again by replication. The second delivery
+// must not restore the deleted endpoint.
 func TestChangeDeliveredTwiceKeepsDeletion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		config := testConfig(true)
@@ -121,10 +122,10 @@
 		publish(t, s, "east", serving("s-2"))
 		publish(t, s, "east", deleted("s-2"))
 		must(t, s.Restart("r2"))
-		advance(replication + epsilon)
+		advance(replicationDelay + epsilon)
 		for _, r := range s.replicas {
 			if got := r.list(testList).records; len(got) != 1 {
-				t.Errorf("%s has %v", r.Name, got)
+				t.Errorf("replica %s has %v, want one record", r.Name, got)
 			}
 		}
 	})
@@ -170,7 +171,7 @@
 		advance(updateDeadline)
 		for i, w := range watchers {
 			if !w.has("s-1") {
-				t.Errorf("watcher %d did not get the change in the end", i)
+				t.Errorf("watcher %d did not get the change within the deadline", i)
 			}
 		}
 		if err := <-silent; !errors.Is(err, context.DeadlineExceeded) {
@@ -182,7 +183,7 @@
 	})
 }
 
-func TestSilenceWatchesSparesIdleConnections(t *testing.T) {
+func TestSilenceWatchesDoesNotAffectIdleConnections(t *testing.T) {
 	runInBothModes(t, func(t *testing.T, poll bool) {
 		s := startService(t, oneReplicaConfig(poll))
 		c := newTestClient(s.Dialer(testList, eastClient))
@@ -203,7 +204,7 @@
 	})
 }
 
-// No change passes the cut in either direction until it is healed.
+// Until an isolated zone is healed, no change from other zones reaches its clients or its replica.
 func TestCutZoneIsolatesClientsAndReplicas(t *testing.T) {
 	runInBothModes(t, func(t *testing.T, poll bool) {
 		s := startService(t, testConfig(poll))
@@ -222,12 +223,12 @@
 		s.HealZone("a")
 		advance(updateDeadline)
 		if !watchers[0].has("s-1") {
-			t.Error("the zone did not get the change in the end")
+			t.Error("the client in the zone did not get the change after the heal")
 		}
 	})
 }
 
-// Until then it is silent.
+// A connection opened while the zone is isolated is silent until the zone is healed.
 func TestConnectionFromCutZoneIsResetAfterHeal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startService(t, testConfig(true))
@@ -243,18 +244,18 @@
 		advance(time.Hour)
 		select {
 		case err := <-ended:
-			t.Fatalf("ended during the cut with %v", err)
+			t.Fatalf("the request ended while the zone was isolated, with error %v", err)
 		default:
 		}
 		s.HealZone("a")
 		if err := <-ended; err == nil {
-			t.Error("got a response after the cut")
+			t.Error("got a response after the heal, want an error")
 		}
 	})
 }
 
-// During the partition each region has its own changes; afterwards both have all, and of two changes of one endpoint
-// the later.
+// During the partition, each region has only its own changes. Afterwards, both regions have all changes, and the later
+// of two changes of the same endpoint.
 func TestPartitionedRegionsConvergeAfterHeal(t *testing.T) {
 	runInBothModes(t, func(t *testing.T, poll bool) {
 		s := startService(t, testConfig(poll))
@@ -285,7 +286,7 @@
 	})
 }
 
-// Afterwards it responds to the watches whose hold time has not expired.
+// After the restart, the agent responds only to watches whose hold time has not expired.
 func TestAgentIsSilentWhileServiceIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startService(t, oneReplicaConfig(false))
@@ -300,7 +301,7 @@
 		queries := map[string]string{"snapshot": "", "short": watchQuery(version, 2*time.Second),
 			"long": watchQuery(version, 20*time.Second)}
 		must(t, s.Kill("r1"))
-		s.RejectRequests(1) // a silent agent rejects nothing
+		s.RejectRequests(1) // an agent that cannot reach a replica rejects nothing
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Minute)
 		defer cancel()
 		for name := range outcomes {
@@ -313,9 +314,9 @@
 		}
 		advance(10 * time.Second)
 		must(t, s.Restart("r1"))
-		back := time.Now()
-		if got := <-outcomes["long"]; got.err != nil || got.at != back || !got.list.Snapshot {
-			t.Errorf("the long watch: %v, %v after the restart", got.err, got.at.Sub(back))
+		restarted := time.Now()
+		if got := <-outcomes["long"]; got.err != nil || got.at != restarted || !got.list.Snapshot {
+			t.Errorf("the long watch ended with error %v, %v after the restart", got.err, got.at.Sub(restarted))
 		}
 		for _, name := range []string{"snapshot", "short"} {
 			if got := <-outcomes[name]; !errors.Is(got.err, context.DeadlineExceeded) {
@@ -325,8 +326,8 @@
 	})
 }
 
-// The cut begins and ends within the hold time of a watch.
-func TestAgentRespondsAsUsualAfterShortCut(t *testing.T) {
+// The zone is isolated and healed within the hold time of a watch.
+func TestAgentKeepsHoldTimeAfterShortZoneCut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startService(t, oneReplicaConfig(false))
 		c := newTestClient(s.Dialer(testList, eastClient))
@@ -346,7 +347,7 @@
 		c := newTestClient(s.Dialer(testList, eastClient))
 		must(t, s.Kill("r1"))
 		if _, _, err := c.get(t.Context(), discovery.MembersPath); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Errorf("error is %v", err)
+			t.Errorf("got error %v, want connection refused", err)
 		}
 		must(t, s.Restart("r1"))
 		if status, _, err := c.get(t.Context(), discovery.MembersPath); status != http.StatusOK {
@@ -355,7 +356,7 @@
 	})
 }
 
-// One replica alone has the change when it is killed.
+// When the replica is killed, it is the only one that has the change, because the regions were partitioned.
 func TestAcceptedChangeSurvivesRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		config := testConfig(true)
@@ -369,17 +370,17 @@
 		advance(time.Hour)
 		c := newTestClient(s.Dialer(testList, Location{Zone: "d", Region: "west"}))
 		if l := c.mustGet(t, ""); len(l.Endpoints) != 0 {
-			t.Errorf("the other replica has %s", toJSON(t, l))
+			t.Errorf("the other replica has %s before the restart", toJSON(t, l))
 		}
 		must(t, s.Restart("r1"))
-		advance(replication + epsilon)
+		advance(replicationDelay + epsilon)
 		if l := c.mustGet(t, ""); len(l.Endpoints) != 1 {
 			t.Errorf("the other replica has %s after the restart", toJSON(t, l))
 		}
 	})
 }
 
-// Once all faults have ended, every client and replica has the list of all accepted changes.
+// Once all faults have ended, the list of every client and replica reflects all accepted changes.
 func TestListsConvergeAfterRandomFaults(t *testing.T) {
 	runInBothModes(t, func(t *testing.T, poll bool) {
 		for seed := range uint64(8) {
@@ -409,7 +410,7 @@
 		} else if !errors.Is(err, ErrNoReplica) {
 			t.Fatal(err)
 		}
-		time.Sleep(time.Duration(random.Int64N(int64(2 * replication))))
+		time.Sleep(time.Duration(random.Int64N(int64(2 * replicationDelay))))
 	}
 	healAll(s)
 	advance(2 * updateDeadline)
@@ -419,21 +420,22 @@
 		}
 	}
 	for _, r := range s.replicas {
-		if l := r.list(testList); len(l.records) != len(want) || l.complete() != s.lastChange {
-			t.Errorf("seed %d: %s has %d records, complete to %d of %d", seed, r.Name, len(l.records), l.complete(), s.lastChange)
+		if l := r.list(testList); len(l.records) != len(want) || l.completeThrough() != s.lastChange {
+			t.Errorf("seed %d: %s has %d records, complete through change %d of %d",
+				seed, r.Name, len(l.records), l.completeThrough(), s.lastChange)
 		}
 	}
 }
 
-// injectRandomFault begins or ends a random fault.
+// injectRandomFault starts or ends a random fault, or does nothing.
 func injectRandomFault(s *Service, random *rand.Rand) {
 	replica := s.replicas[random.IntN(len(s.replicas))].Name
 	zone := []string{"a", "b", "c", "d", "e"}[random.IntN(5)]
 	switch random.IntN(16) {
 	case 0:
-		_ = s.Kill(replica) // it may be down
+		_ = s.Kill(replica) // fails if it is already down
 	case 1, 2:
-		_ = s.Restart(replica) // it may be live
+		_ = s.Restart(replica) // fails if it is live
 	case 3:
 		s.CutZone(zone)
 	case 4, 5:
@@ -457,7 +459,7 @@
 // healAll ends all faults.
 func healAll(s *Service) {
 	for _, r := range s.replicas {
-		_ = s.Restart(r.Name) // most are live
+		_ = s.Restart(r.Name) // fails if it is live
 	}
 	for _, zone := range []string{"a", "b", "c", "d", "e"} {
 		s.HealZone(zone)
--- a/internal/emulator/registry/handler.go
+++ b/internal/emulator/registry/handler.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// serveRequest responds to one request.
+// serveRequest handles one HTTP request.
 func (s *Service) serveRequest(w http.ResponseWriter, r *http.Request) {
 	ctx := r.Context()
 	c := connOf(ctx)
@@ -37,25 +37,26 @@
 }
 
 func writeRejection(w http.ResponseWriter, c *conn) {
-	if r := c.metered.Load(); r != nil {
+	if r := c.usageReplica.Load(); r != nil {
 		r.usage.addRejected()
 	}
 	http.Error(w, "busy", http.StatusServiceUnavailable)
 }
 
-// observeArrival counts a request and reports a valid one to OnRequest. It returns what the faults in force do to it.
+// observeArrival counts a request and reports it to OnRequest if it is valid. It returns the delay that the active
+// faults add to the request, and whether they reject it.
 func (s *Service) observeArrival(c *conn, request listRequest, valid bool) (delay time.Duration, rejected bool) {
 	s.mu.Lock()
-	if r := s.replicaFor(c); r != nil { // otherwise an agent that is silent
+	if r := s.replicaFor(c); r != nil { // nil: the agent cannot reach a replica, or the polled replica is down
 		r.usage.addRequest()
 		rejected = valid && s.faults.rejectRatio > 0 && s.config.Random.Float64() < s.faults.rejectRatio
 	}
 	delay = s.faults.delay
 	observation := Observation{
-		Client:   c.client.location.Name,
-		List:     c.client.list,
-		At:       time.Now(),
-		Complete: s.completeAt(c.client.list, request.fromVersion),
+		Client:          c.client.location.Name,
+		List:            c.client.list,
+		At:              time.Now(),
+		CompleteThrough: s.completeThroughAt(c.client.list, request.fromVersion),
 	}
 	s.mu.Unlock()
 	if valid && s.config.OnRequest != nil {
@@ -64,18 +65,19 @@
 	return delay, rejected
 }
 
-// completeAt is the number of the change up to which a list is complete at a version of any replica, or Unknown.
-func (s *Service) completeAt(list string, version int64) int64 {
+// completeThroughAt returns the change number up to which a list is complete at a version of any replica, or Unknown if
+// no replica's log covers the version.
+func (s *Service) completeThroughAt(list string, version int64) int64 {
 	for _, r := range s.replicas {
-		if complete := r.list(list).completeAt(version); complete != Unknown {
-			return complete
+		if number := r.list(list).completeThroughAt(version); number != Unknown {
+			return number
 		}
 	}
 	return Unknown
 }
 
-// waitForCapacity waits until the replica of a polled service has served the requests before this one. It returns false
-// if the request is rejected.
+// waitForCapacity waits until the connection's replica has served this request and all queued before it. It returns
+// false if the request is rejected because the queue is too long. Agents have no capacity limit.
 func (s *Service) waitForCapacity(ctx context.Context, c *conn) bool {
 	if !s.config.Poll {
 		return true
@@ -84,7 +86,7 @@
 	wait, ok := c.replica.reserveCapacity(time.Now(), s.config.QueueLimit)
 	s.mu.Unlock()
 	if ok {
-		c.sleep(ctx, wait) // a client that leaves meanwhile gets no response
+		c.sleep(ctx, wait) // a client that disconnects meanwhile gets no response
 	}
 	return ok
 }
@@ -92,16 +94,16 @@
 // pendingRequest is a request that waits for its response.
 type pendingRequest struct {
 	listRequest
-	deadline     time.Time // the end of its hold time
-	disconnected bool      // the agent reaches no replica, or reached none at the deadline
+	deadline     time.Time // end of the hold time
+	disconnected bool      // the agent cannot reach a replica, or could not at the deadline
 }
 
-// wakeups are the events that may bring a response to a pending request, besides its deadline.
+// wakeups are the events, besides its deadline, after which a pending request may get a response.
 type wakeups struct{ listChanged, topologyChanged <-chan struct{} }
 
-// waitForResponse returns the response to a request once there is one: a snapshot if the log does not cover its
-// version, the changes since then, or no changes at the end of its hold time. It returns nil if the request gets no
-// response.
+// waitForResponse waits for the response to a request: a snapshot if the log does not cover its version, otherwise the
+// changes since that version, or an empty list of changes when the hold time expires. It returns nil if the request
+// gets no response.
 func (s *Service) waitForResponse(ctx context.Context, c *conn, request listRequest) []byte {
 	pending := &pendingRequest{listRequest: request, deadline: time.Now().Add(request.holdTime)}
 	holdTimer := time.NewTimer(request.holdTime)
@@ -124,7 +126,7 @@
 	return nil
 }
 
-// responseNow returns the response to a request if there is one now, and otherwise the events that may bring one.
+// responseNow returns the response to a request if it is available, and otherwise the events to wait for.
 func (s *Service) responseNow(c *conn, pending *pendingRequest) ([]byte, wakeups) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,8 +150,8 @@
 	c.watching = false
 }
 
-// response returns the response to a request from a version, or nil if nothing has changed and its hold time has not
-// expired.
+// response returns the response to a request for the changes since a version, or nil if nothing has changed and the
+// hold time has not expired.
 func (r *replica) response(list string, fromVersion int64, expired bool) []byte {
 	l := r.list(list)
 	switch {
--- a/internal/emulator/registry/handler_test.go
+++ b/internal/emulator/registry/handler_test.go
@@ -14,7 +14,7 @@
 
 var eastClient = Location{Name: "in-a", Zone: "a", Region: "east"}
 
-// oneReplicaConfig configures a service with r1 alone.
+// oneReplicaConfig returns the configuration of a service whose only replica is r1.
 func oneReplicaConfig(poll bool) Config {
 	config := testConfig(poll)
 	config.Replicas = config.Replicas[:1]
@@ -41,7 +41,7 @@
 	})
 }
 
-// Each changed endpoint is in the response once, as it is now.
+// The response contains each changed endpoint once, in its current state.
 func TestWatchGetsChangesSinceVersion(t *testing.T) {
 	runInBothModes(t, func(t *testing.T, poll bool) {
 		s := startService(t, oneReplicaConfig(poll))
@@ -53,7 +53,7 @@
 		publish(t, s, "east", draining)
 		publish(t, s, "east", deleted("s-2"))
 		publish(t, s, "east", deleted("s-1"))
-		advance(replication + epsilon) // until the tombstones are dropped
+		advance(replicationDelay + epsilon) // tombstones are dropped by then
 
 		l := c.mustGet(t, watchQuery(version, time.Second))
 		want := toJSON(t, []discovery.Endpoint{deleted("s-1"), deleted("s-2")})
@@ -61,7 +61,7 @@
 			t.Errorf("after version %d: %s, want endpoints %s", version, toJSON(t, l), want)
 		}
 		if snapshot := c.mustGet(t, ""); len(snapshot.Endpoints) != 1 || snapshot.Index != l.Index {
-			t.Errorf("the snapshot is %s", toJSON(t, snapshot))
+			t.Errorf("got snapshot %s, want one endpoint and the version of the changes", toJSON(t, snapshot))
 		}
 	})
 }
@@ -108,11 +108,11 @@
 		for i := range 4 {
 			publish(t, s, "east", serving("s-"+strconv.Itoa(i)))
 		}
-		advance(replication + epsilon)
+		advance(replicationDelay + epsilon)
 		other := newTestClient(s.Dialer(testList, Location{Zone: "d", Region: "west"})).mustGet(t, "").Index
 		must(t, s.Kill("r1"))
 		must(t, s.Restart("r1"))
-		earlier := c.mustGet(t, "").Index // where the list is pushed, the agent now follows r2
+		earlier := c.mustGet(t, "").Index // where the list is pushed, the agent is now attached to r2
 		must(t, s.Kill("r2"))
 		publish(t, s, "east", serving("s-4"))
 		now := c.mustGet(t, "").Index
@@ -127,7 +127,7 @@
 		}
 		if poll {
 			if l := c.mustGet(t, watchQuery(earlier, time.Minute)); l.Snapshot || len(l.Endpoints) != 1 {
-				t.Errorf("version %d of this log: %s", earlier, toJSON(t, l))
+				t.Errorf("version %d of the current log: got %s, want one change", earlier, toJSON(t, l))
 			}
 		}
 	})
@@ -153,7 +153,7 @@
 	})
 }
 
-// This also holds if a replica was down in the meantime.
+// Tombstones are also dropped if a replica was down when the endpoints were deleted.
 func TestTombstonesAreDroppedOnceReplicated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startService(t, testConfig(true))
@@ -164,13 +164,14 @@
 			publish(t, s, "east", serving(name))
 			publish(t, s, "west", deleted(name))
 		}
-		advance(replication + epsilon)
+		advance(replicationDelay + epsilon)
 		must(t, s.Restart("r4"))
-		advance(replication + epsilon)
+		advance(replicationDelay + epsilon)
 		for _, r := range s.replicas {
 			l := r.list(testList)
 			if len(l.records) != 1 || len(l.missing) != 0 {
-				t.Errorf("%s holds %d records and misses %d changes", r.Name, len(l.records), len(l.missing))
+				t.Errorf("replica %s has %d records and is missing %d changes, want 1 and 0",
+					r.Name, len(l.records), len(l.missing))
 			}
 		}
 	})
@@ -221,10 +222,10 @@
 	for _, test := range []struct {
 		name   string
 		change func(*Config)
-		want   string // in the error
+		want   string // substring of the error
 	}{
 		{"no replicas", func(c *Config) { c.Replicas = nil }, "Replicas"},
-		{"no random draws", func(c *Config) { c.Random = nil }, "Random"},
+		{"no random source", func(c *Config) { c.Random = nil }, "Random"},
 		{"duplicate name", func(c *Config) { c.Replicas[1].Name = "r1" }, `"r1"`},
 		{"empty name", func(c *Config) { c.Replicas[1].Name = "" }, `""`},
 		{"negative capacity", func(c *Config) { c.Replicas[1].RequestRate = -1 }, "RequestRate"},
@@ -265,7 +266,7 @@
 			t.Error("region without replicas: no error")
 		}
 		if first := publish(t, s, "east", serving("s-1")); first.Number != 1 || first.List != testList {
-			t.Errorf("first change accepted is %+v", first)
+			t.Errorf("first accepted change is %+v", first)
 		}
 		if l := newTestClient(s.Dialer(testList, eastClient)).mustGet(t, ""); len(l.Endpoints) > 1 {
 			t.Errorf("list is %s", toJSON(t, l))
@@ -277,8 +278,8 @@
 	})
 }
 
-// It does so whichever replica the version is from.
-func TestObservationCompleteFollowsVersion(t *testing.T) {
+// CompleteThrough is also known for a version of a replica other than the one that gets the request.
+func TestObservationCompleteThroughMatchesVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		config := testConfig(true)
 		config.Replicas = []ReplicaConfig{{Name: "r1", Zone: "a", Region: "east"}, {Name: "r2", Zone: "d", Region: "west"}}
@@ -286,10 +287,10 @@
 		config.OnRequest = func(o Observation) { seen = append(seen, o) }
 		s := startService(t, config)
 		c := newTestClient(s.Dialer(testList, eastClient))
-		expect := func(query string, complete int64) int64 {
+		expect := func(query string, completeThrough int64) int64 {
 			t.Helper()
 			version := c.mustGet(t, query).Index
-			want := Observation{Client: "in-a", List: testList, Complete: complete, At: time.Now()}
+			want := Observation{Client: "in-a", List: testList, CompleteThrough: completeThrough, At: time.Now()}
 			if got := seen[len(seen)-1]; got != want {
 				t.Errorf("%q: observed %+v, want %+v", query, got, want)
 			}
@@ -303,11 +304,11 @@
 		if _, err := s.Publish("search", "west", serving("t-1")); err != nil {
 			t.Fatal(err)
 		}
-		publish(t, s, "west", serving("s-2")) // the third change, on its way
+		publish(t, s, "west", serving("s-2")) // the third change, not yet replicated to r1
 		publish(t, s, "east", serving("s-3"))
 		four := expect(watchQuery(one, 0), 2)
 		expect(watchQuery(four, 0), 2)
-		advance(replication + epsilon)
+		advance(replicationDelay + epsilon)
 		expect(watchQuery(four, 0), 2)
 		all := expect("", Unknown)
 		expect(watchQuery(all, 0), 4)
@@ -336,7 +337,7 @@
 		}
 		cancel()
 		if err := <-done; err == nil {
-			t.Error("a cancelled watch got a response")
+			t.Error("the cancelled watch got a response")
 		}
 		synctest.Wait()
 		if n := len(s.conns); n != 0 {
--- a/internal/emulator/registry/helpers_test.go
+++ b/internal/emulator/registry/helpers_test.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	replication = 50 * time.Millisecond
-	epsilon     = time.Millisecond
-	testList    = "checkout"
+	replicationDelay = 50 * time.Millisecond
+	epsilon          = time.Millisecond
+	testList         = "checkout"
 )
 
 // fourReplicas returns two replicas in each of two regions.
@@ -31,7 +31,7 @@
 	}
 }
 
-// clientsOfAllZones returns a client in each of five zones; zone c has no replica.
+// clientsOfAllZones returns the locations of five clients, one in each zone. Zone c has no replica.
 func clientsOfAllZones() []Location {
 	return []Location{
 		{Name: "in-a", Zone: "a", Region: "east"}, {Name: "in-b", Zone: "b", Region: "east"},
@@ -41,10 +41,11 @@
 }
 
 func testConfig(poll bool) Config {
-	return Config{Replicas: fourReplicas(), Poll: poll, ReplicationDelay: replication, Random: rand.New(rand.NewPCG(1, 2))}
+	return Config{Replicas: fourReplicas(), Poll: poll, ReplicationDelay: replicationDelay,
+		Random: rand.New(rand.NewPCG(1, 2))}
 }
 
-// runInBothModes runs a test with a pushed and with a polled list, in a synctest bubble.
+// runInBothModes runs a test in a synctest bubble, once with a pushed and once with a polled list.
 func runInBothModes(t *testing.T, run func(t *testing.T, poll bool)) {
 	t.Helper()
 	for _, poll := range []bool{false, true} {
@@ -88,7 +89,7 @@
 	}
 }
 
-// memberSet is the list of a client, by name.
+// memberSet is a client's copy of an endpoint list, by endpoint name.
 type memberSet map[string]discovery.Endpoint
 
 func (m memberSet) apply(l *discovery.List) {
@@ -104,7 +105,7 @@
 	}
 }
 
-// watcher is a discovery client and the list that it has received.
+// watcher stores the list that a discovery client has received, and counts its updates and failures.
 type watcher struct {
 	mu       sync.Mutex
 	members  memberSet
@@ -112,14 +113,14 @@
 	failures int
 }
 
-// watch starts a discovery client, which runs until the test ends.
-func watch(t *testing.T, s *Service, of string, at Location) *watcher {
+// watch starts a discovery client that runs until the test ends, and returns its watcher.
+func watch(t *testing.T, s *Service, list string, location Location) *watcher {
 	t.Helper()
 	w := &watcher{members: memberSet{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	updates, requests := make(chan discovery.Update), make(chan struct{}, 1)
 	client := discovery.NewClient(discovery.Options{Address: "registry:80", Known: discovery.NoVersion, Poll: s.config.Poll,
-		Updates: updates, Requests: requests, Log: slog.New(slog.DiscardHandler), Dial: s.Dialer(of, at),
+		Updates: updates, Requests: requests, Log: slog.New(slog.DiscardHandler), Dial: s.Dialer(list, location),
 		Random: rand.New(rand.NewPCG(3, 4))})
 	var running sync.WaitGroup
 	running.Go(func() { client.Run(ctx) })
@@ -138,7 +139,7 @@
 			if w.apply(u) {
 				continue
 			}
-			time.Sleep(200 * time.Millisecond) // as the balancer backs off
+			time.Sleep(200 * time.Millisecond) // like the backoff of the balancer
 			requests <- struct{}{}
 		case <-ctx.Done():
 			return
@@ -177,13 +178,13 @@
 	return w.updates
 }
 
-// advance advances the time of the bubble, and waits for what happens until then.
+// advance moves the bubble's clock forward, and waits until all goroutines that became runnable have blocked again.
 func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-// testClient makes single requests, each on a connection of its own.
+// testClient makes single requests. By default, each uses a new connection.
 type testClient struct {
 	http      http.Client
 	transport *http.Transport
@@ -194,8 +195,8 @@
 	return &testClient{http: http.Client{Transport: transport}, transport: transport}
 }
 
-// get makes a request.
-func (c *testClient) get(ctx context.Context, target string) (status int, answer *discovery.List, err error) {
+// get sends a GET request for a path and query. The list is nil unless the status is 200.
+func (c *testClient) get(ctx context.Context, target string) (status int, list *discovery.List, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://registry"+target, nil)
 	if err != nil {
 		return 0, nil, err
@@ -209,18 +210,18 @@
 	if err != nil || resp.StatusCode != http.StatusOK {
 		return resp.StatusCode, nil, err
 	}
-	answer, err = discovery.ParseList(data)
-	return resp.StatusCode, answer, err
+	list, err = discovery.ParseList(data)
+	return resp.StatusCode, list, err
 }
 
-// mustGet makes a request whose response must be a list.
+// mustGet requests the list and fails the test if the response is not a list.
 func (c *testClient) mustGet(t *testing.T, query string) *discovery.List {
 	t.Helper()
-	status, answer, err := c.get(t.Context(), discovery.MembersPath+query)
+	status, list, err := c.get(t.Context(), discovery.MembersPath+query)
 	if err != nil || status != http.StatusOK {
-		t.Fatalf("%q: status %d, error %v", query, status, err)
+		t.Fatalf("query %q: status %d, error %v", query, status, err)
 	}
-	return answer
+	return list
 }
 
 func watchQuery(version int64, hold time.Duration) string {
--- a/internal/emulator/registry/listen.go
+++ b/internal/emulator/registry/listen.go
@@ -13,14 +13,14 @@
 	"baylock/internal/discovery"
 )
 
-// acceptBackoff is the wait after a failed accept, as when file descriptors run out.
+// acceptBackoff is the delay after a failed accept, for example when the process is out of file descriptors.
 const acceptBackoff = 10 * time.Millisecond
 
-// Listen opens a loopback address, host:port, at which one client is served one list.
-func (s *Service) Listen(list string, at Location) (address string, err error) {
+// Listen opens a TCP listener that serves one list to one client, and returns its loopback address as host:port.
+func (s *Service) Listen(list string, location Location) (address string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", fmt.Errorf("listen for client %q: %w", at.Name, err)
+		return "", fmt.Errorf("listen for client %q: %w", location.Name, err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,12 +29,12 @@
 		return "", errClosed
 	}
 	s.listeners = append(s.listeners, listener)
-	client := &client{list: list, location: at}
+	client := &client{list: list, location: location}
 	s.running.Go(func() { s.accept(listener, client) })
 	return listener.Addr().String(), nil
 }
 
-// accept accepts a client's connections until the listener is closed.
+// accept serves a client's connections until the listener is closed.
 func (s *Service) accept(listener net.Listener, client *client) {
 	for {
 		raw, err := listener.Accept()
@@ -49,34 +49,35 @@
 				return
 			}
 		}
-		if c, err := s.handOver(raw, client); err != nil {
+		if c, err := s.serveConn(raw, client); err != nil {
 			c.reset()
 		}
 	}
 }
 
-// Dialer returns a dialer for in-memory connections of one client, which is served one list. It ignores the address.
-func (s *Service) Dialer(list string, at Location) discovery.Dialer {
-	client := &client{list: list, location: at}
+// Dialer returns a dialer for in-memory connections that serve one list to one client. The dialer ignores the address.
+func (s *Service) Dialer(list string, location Location) discovery.Dialer {
+	client := &client{list: list, location: location}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		if err := ctx.Err(); err != nil {
 			return nil, err
 		}
-		near, far := net.Pipe()
-		if c, err := s.handOver(far, client); err != nil {
+		clientEnd, serverEnd := net.Pipe()
+		if c, err := s.serveConn(serverEnd, client); err != nil {
 			c.reset()
-			_ = near.Close() // unused
+			_ = clientEnd.Close() // unused
 			return nil, &net.OpError{Op: "dial", Net: network, Err: err}
 		}
-		return near, nil
+		return clientEnd, nil
 	}
 }
 
-// handOver hands a client's connection to the HTTP server. Where the list is polled, it is refused if every replica is
-// down, and silent if the client reaches none. An agent takes every connection.
-func (s *Service) handOver(raw net.Conn, client *client) (*conn, error) {
+// serveConn passes a client's connection to the HTTP server. Where the list is polled, it refuses the connection if
+// every replica is down, and makes it silent if the client cannot reach any. Agents accept every connection. If it
+// returns an error, the caller must close the connection.
+func (s *Service) serveConn(raw net.Conn, client *client) (*conn, error) {
 	c := &conn{Conn: raw, service: s, client: client, ended: make(chan struct{})}
-	if err := s.assign(c); err != nil {
+	if err := s.registerConn(c); err != nil {
 		return c, err
 	}
 	select {
@@ -87,8 +88,8 @@
 	}
 }
 
-// assign assigns a connection to the nearest replica, where the list is polled.
-func (s *Service) assign(c *conn) error {
+// registerConn adds a connection to the service and, where the list is polled, assigns it to the nearest replica.
+func (s *Service) registerConn(c *conn) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.isClosed() {
@@ -104,26 +105,26 @@
 			c.replica.load++
 		}
 	}
-	c.metered.Store(s.replicaFor(c))
+	c.usageReplica.Store(s.replicaFor(c))
 	s.conns = append(s.conns, c)
 	return nil
 }
 
-// forget removes a connection that has ended.
-func (s *Service) forget(c *conn) {
+// removeConn removes a closed connection from the service.
+func (s *Service) removeConn(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at := slices.Index(s.conns, c)
-	if at < 0 {
+	index := slices.Index(s.conns, c)
+	if index < 0 {
 		return
 	}
-	s.conns = slices.Delete(s.conns, at, at+1)
+	s.conns = slices.Delete(s.conns, index, index+1)
 	if c.replica != nil {
 		c.replica.load--
 	}
 }
 
-// trackConn counts the server's connections for Close.
+// trackConn tracks the HTTP server's connections, so that Close can wait for them.
 func (s *Service) trackConn(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -133,7 +134,8 @@
 	}
 }
 
-// memoryListener is a net.Listener for the connections that handOver hands over.
+// memoryListener is the net.Listener of the HTTP server. It accepts the connections, TCP or in-memory, that serveConn
+// passes to it.
 type memoryListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -144,20 +146,20 @@
 }
 
 // Accept waits for the next connection.
-func (h *memoryListener) Accept() (net.Conn, error) {
+func (l *memoryListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-h.conns:
+	case c := <-l.conns:
 		return c, nil
-	case <-h.closed:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-// Close ends the listener. The server calls it once.
-func (h *memoryListener) Close() error {
-	close(h.closed)
+// Close closes the listener. It must be called only once, as the HTTP server does.
+func (l *memoryListener) Close() error {
+	close(l.closed)
 	return nil
 }
 
 // Addr returns a placeholder, as the listener has no address.
-func (h *memoryListener) Addr() net.Addr { return &net.UnixAddr{Name: "registry", Net: "memory"} }
+func (l *memoryListener) Addr() net.Addr { return &net.UnixAddr{Name: "registry", Net: "memory"} }
--- a/internal/emulator/registry/listen_test.go
+++ b/internal/emulator/registry/listen_test.go
@@ -15,23 +15,23 @@
 	"baylock/internal/discovery"
 )
 
-// dialTCP returns a dialer to the address of a listener.
+// dialTCP returns a dialer that always connects to the given address.
 func dialTCP(address string) discovery.Dialer {
 	return func(ctx context.Context, network, _ string) (net.Conn, error) {
 		return new(net.Dialer).DialContext(ctx, network, address)
 	}
 }
 
-func listen(t *testing.T, s *Service, at Location) *testClient {
+func listen(t *testing.T, s *Service, location Location) *testClient {
 	t.Helper()
-	address, err := s.Listen(testList, at)
+	address, err := s.Listen(testList, location)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return newTestClient(dialTCP(address))
 }
 
-// The client's next connection goes to another replica.
+// Another replica serves the client's next connection.
 func TestKilledReplicaResetsTCPConnections(t *testing.T) {
 	arrived := make(chan Observation, 16)
 	config := testConfig(true)
@@ -53,11 +53,11 @@
 	}
 	publish(t, s, "east", serving("s-1"))
 	if l := c.mustGet(t, watchQuery(version, time.Minute)); !l.Snapshot || len(l.Endpoints) != 1 {
-		t.Errorf("the next replica responds %s", toJSON(t, l))
+		t.Errorf("the next replica responds with %s", toJSON(t, l))
 	}
 }
 
-// It also follows the list from one replica to the next.
+// The client keeps receiving changes after its replica is killed.
 func TestDiscoveryClientFollowsListOverTCP(t *testing.T) {
 	for _, poll := range []bool{false, true} {
 		t.Run("poll="+strconv.FormatBool(poll), func(t *testing.T) {
@@ -103,17 +103,17 @@
 	var waiting sync.WaitGroup // until every client's watch has arrived
 	waiting.Add(clients)
 	config.OnRequest = func(o Observation) {
-		if o.Complete != Unknown {
+		if o.CompleteThrough != Unknown {
 			waiting.Done()
 		}
 	}
 	s := startService(t, config)
 	var received sync.WaitGroup
 	for i := range clients {
-		at := clientsOfAllZones()[i%5]
-		at.Name += strconv.Itoa(i)
-		c := listen(t, s, at)
-		c.transport.DisableKeepAlives = false // or the second call may go to another replica
+		location := clientsOfAllZones()[i%5]
+		location.Name += strconv.Itoa(i)
+		c := listen(t, s, location)
+		c.transport.DisableKeepAlives = false // otherwise the watch might go to another replica
 		received.Go(func() {
 			version := c.mustGet(t, "").Index
 			if l := c.mustGet(t, watchQuery(version, time.Minute)); len(l.Endpoints) != 1 {
@@ -126,7 +126,7 @@
 	received.Wait()
 }
 
-// BenchmarkChange measures a change that 970 clients in memory receive, the cost of the clients included.
+// BenchmarkChange measures a change from publishing until 970 in-memory clients have it, including the cost of the clients.
 func BenchmarkChange(b *testing.B) {
 	const clients = 970
 	config := testConfig(false)
@@ -136,7 +136,7 @@
 		b.Fatal(err)
 	}
 	defer s.Close()
-	var received, running sync.WaitGroup // of the present change, and of the clients
+	var received, running sync.WaitGroup // received: clients yet to get the current change
 	defer running.Wait()
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
@@ -170,9 +170,9 @@
 	s := startService(t, testConfig(true))
 	s.Close()
 	if _, err := s.Listen(testList, eastClient); err == nil {
-		t.Error("Listen: no error")
+		t.Error("Listen after Close: no error")
 	}
 	if _, err := s.Dialer(testList, eastClient)(t.Context(), "tcp", "registry:80"); err == nil {
-		t.Error("Dialer: no error")
+		t.Error("dial after Close: no error")
 	}
 }
--- a/internal/emulator/registry/memberlist.go
+++ b/internal/emulator/registry/memberlist.go
@@ -8,27 +8,27 @@
 	"baylock/internal/discovery"
 )
 
-// A version is the epoch of a replica's start and, in its low bits, the sequence number of the list's last log entry.
-// Both fit the 53 bits that every reader of JSON keeps.
+// A version consists of the epoch of a replica's start and, in the low sequenceBits bits, the sequence number of the
+// list's last log entry. Together they fit into 53 bits, the integer size that every JSON parser reads exactly.
 const sequenceBits = 32
 
-// record is the last change of an endpoint that a replica has. One of status Deleted is a tombstone.
+// record is the latest change of an endpoint that a replica has stored. A record with status Deleted is a tombstone.
 type record struct {
 	endpoint discovery.Endpoint
 	number   int64 // of the change
 }
 
 type logEntry struct {
-	name     string // of the endpoint that changed
-	complete int64  // the change up to which the version before this entry was complete
+	name            string // of the endpoint that changed
+	completeThrough int64  // of the list at the version before this entry
 }
 
-// memberList is one replica's copy of a list, with a log of its changes since the replica's start.
+// memberList is one replica's copy of an endpoint list, with a log of the changes since the replica's start.
 type memberList struct {
 	epoch        int64
-	logLimit     int // entries of the log at most
+	logLimit     int // maximum number of entries in the log
 	records      map[string]record
-	missing      []int64 // numbers of the accepted changes that have not arrived yet, ascending
+	missing      []int64 // numbers of accepted changes that this replica has not received yet, ascending
 	lastAccepted int64   // number of the last accepted change
 
 	baseSequence int64 // sequence number of the oldest version that the log covers
@@ -44,7 +44,7 @@
 	return &memberList{epoch: epoch, logLimit: limit, records: map[string]record{}, changed: make(chan struct{})}
 }
 
-// resetLog begins a new log for the present list.
+// resetLog starts a new log at the current contents of the list.
 func (l *memberList) resetLog(epoch int64) {
 	l.epoch, l.baseSequence, l.entries = epoch, 0, nil
 	l.clearEncoded()
@@ -54,45 +54,45 @@
 	return l.epoch<<sequenceBits + l.baseSequence + int64(len(l.entries))
 }
 
-// covers reports whether the log has all changes since a version.
+// covers reports whether the log contains all changes since a version.
 func (l *memberList) covers(version int64) bool {
 	return version >= l.epoch<<sequenceBits+l.baseSequence && version <= l.version()
 }
 
-// complete is the number of the change up to which the list has every accepted one.
-func (l *memberList) complete() int64 {
+// completeThrough returns the change number up to which this copy has every accepted change of the list.
+func (l *memberList) completeThrough() int64 {
 	if len(l.missing) > 0 {
 		return l.missing[0] - 1
 	}
 	return l.lastAccepted
 }
 
-// completeAt is complete at an earlier version, or Unknown if the log does not cover it.
-func (l *memberList) completeAt(version int64) int64 {
+// completeThroughAt returns completeThrough as of a version, or Unknown if the log does not cover the version.
+func (l *memberList) completeThroughAt(version int64) int64 {
 	switch {
 	case !l.covers(version):
 		return Unknown
 	case version == l.version():
-		return l.complete()
+		return l.completeThrough()
 	default:
-		return l.entries[l.position(version)].complete
+		return l.entries[l.logIndex(version)].completeThrough
 	}
 }
 
-// position is the index of the first log entry after a version that the log covers.
-func (l *memberList) position(version int64) int64 {
+// logIndex returns the index in entries of the first log entry after a version that the log covers.
+func (l *memberList) logIndex(version int64) int64 {
 	return version - l.epoch<<sequenceBits - l.baseSequence
 }
 
-// expectChange records that a replica has accepted a change.
+// expectChange records that a change was accepted by some replica and has yet to be applied here.
 func (l *memberList) expectChange(number int64) {
 	l.missing = append(l.missing, number)
 	l.lastAccepted = number
 }
 
-// apply applies a change, unless the list has it already. Endpoints with a later change stay as they are.
+// apply applies a change unless the list already has it. Endpoints with a later change keep that change.
 func (l *memberList) apply(number int64, endpoints []discovery.Endpoint) {
-	at, isMissing := slices.BinarySearch(l.missing, number)
+	index, isMissing := slices.BinarySearch(l.missing, number)
 	if !isMissing {
 		return
 	}
@@ -101,10 +101,10 @@
 		newer = append(newer, record{endpoint: e, number: number})
 	}
 	l.store(newer)
-	l.missing = slices.Delete(l.missing, at, at+1)
+	l.missing = slices.Delete(l.missing, index, index+1)
 }
 
-// merge applies all changes of another replica's copy.
+// merge applies all changes that another replica's copy of the list has.
 func (l *memberList) merge(peer *memberList) {
 	newer := make([]record, 0)
 	for name, r := range peer.records {
@@ -122,7 +122,7 @@
 	})
 }
 
-// store stores and logs the records that are newer than the list's own.
+// store stores and logs those records that are newer than the list's record of the same endpoint.
 func (l *memberList) store(records []record) {
 	before := l.version()
 	for _, r := range records {
@@ -130,7 +130,7 @@
 		if l.records[name].number >= r.number {
 			continue
 		}
-		l.entries = append(l.entries, logEntry{name: name, complete: l.complete()})
+		l.entries = append(l.entries, logEntry{name: name, completeThrough: l.completeThrough()})
 		l.records[name] = r
 	}
 	if excess := len(l.entries) - l.logLimit; excess > 0 {
@@ -144,10 +144,10 @@
 	}
 }
 
-// dropTombstones removes the tombstones of changes up to a number that every replica has.
-func (l *memberList) dropTombstones(settled int64) {
+// dropTombstones removes the tombstones of changes numbered up to replicatedThrough, which every replica has.
+func (l *memberList) dropTombstones(replicatedThrough int64) {
 	for name, r := range l.records {
-		if r.endpoint.Status == discovery.Deleted && r.number <= settled {
+		if r.endpoint.Status == discovery.Deleted && r.number <= replicatedThrough {
 			delete(l.records, name)
 		}
 	}
@@ -170,8 +170,8 @@
 	return l.snapshot
 }
 
-// encodeChanges returns the endpoints that changed since a version that the log covers, each as it is now, in wire
-// format.
+// encodeChanges returns the current state of each endpoint that changed since a version, in wire format. The log must
+// cover the version.
 func (l *memberList) encodeChanges(from int64) []byte {
 	if l.encodedChanges == nil || l.changesFrom != from {
 		list := &discovery.List{Index: l.version(), Endpoints: l.changedSince(from)}
@@ -183,7 +183,7 @@
 func (l *memberList) changedSince(from int64) []discovery.Endpoint {
 	endpoints := []discovery.Endpoint{}
 	seen := map[string]bool{}
-	for _, entry := range l.entries[l.position(from):] {
+	for _, entry := range l.entries[l.logIndex(from):] {
 		if seen[entry.name] {
 			continue
 		}
--- a/internal/emulator/registry/registry_test.go
+++ b/internal/emulator/registry/registry_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// It does so within the replication delay.
+// The change arrives within the replication delay. Watchers of other lists get no update.
 func TestChangeReachesWatchersOfItsListOnly(t *testing.T) {
 	runInBothModes(t, func(t *testing.T, poll bool) {
 		s := startService(t, testConfig(poll))
 		var watchers, others []*watcher
-		for _, at := range clientsOfAllZones() {
-			watchers = append(watchers, watch(t, s, testList, at))
-			others = append(others, watch(t, s, "search", at))
+		for _, location := range clientsOfAllZones() {
+			watchers = append(watchers, watch(t, s, testList, location))
+			others = append(others, watch(t, s, "search", location))
 		}
 		advance(100 * time.Millisecond)
 		before := others[0].count()
 		publish(t, s, "east", serving("s-1"))
-		advance(replication + epsilon)
+		advance(replicationDelay + epsilon)
 		for i, w := range watchers {
 			if !w.has("s-1") {
 				t.Errorf("watcher %d did not get the change", i)
@@ -32,7 +32,7 @@
 	})
 }
 
-// Clients of the replica that accepted the change get it at once.
+// Clients of the replica that accepted a change get it at once, those of other replicas after the replication delay.
 func TestChangeReachesOtherReplicaAfterDelay(t *testing.T) {
 	runInBothModes(t, func(t *testing.T, poll bool) {
 		config := testConfig(poll)
@@ -42,18 +42,19 @@
 		far := watch(t, s, testList, Location{Name: "far", Zone: "d", Region: "west"})
 		synctest.Wait()
 		publish(t, s, "east", serving("s-1"))
-		advance(replication - epsilon)
+		advance(replicationDelay - epsilon)
 		if !near.has("s-1") || far.has("s-1") {
-			t.Errorf("before the delay: near has it: %t, far has it: %t", near.has("s-1"), far.has("s-1"))
+			t.Errorf("before the replication delay: near has the change: %t, far has the change: %t",
+				near.has("s-1"), far.has("s-1"))
 		}
 		advance(2 * epsilon)
 		if !far.has("s-1") {
-			t.Error("far did not get the change after the delay")
+			t.Error("far did not get the change after the replication delay")
 		}
 	})
 }
 
-// Each of the two changes of one endpoint is accepted before the other has arrived.
+// Two replicas accept changes of the same endpoint, the second before it has received the first change.
 func TestConcurrentChangesLaterOneWins(t *testing.T) {
 	runInBothModes(t, func(t *testing.T, poll bool) {
 		s := startService(t, testConfig(poll))
@@ -61,12 +62,12 @@
 		earlier, later := serving("s-1"), serving("s-1")
 		earlier.Zone, later.Zone = "earlier", "later"
 		publish(t, s, "east", earlier)
-		advance(replication / 2)
+		advance(replicationDelay / 2)
 		publish(t, s, "west", later)
-		advance(replication + epsilon)
+		advance(replicationDelay + epsilon)
 		for i, w := range watchers {
 			if zone := w.snapshot()["s-1"].Zone; zone != "later" {
-				t.Errorf("watcher %d has the change %q", i, zone)
+				t.Errorf("watcher %d has the %q change, want the later one", i, zone)
 			}
 		}
 	})
--- a/internal/emulator/registry/replica.go
+++ b/internal/emulator/registry/replica.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// replica is one server of the service. Its stored changes survive a restart, its log does not.
+// replica is one replica of the discovery service. Its stored changes survive a restart, but its log does not.
 type replica struct {
 	ReplicaConfig
 	live     bool
 	epoch    int64 // of its last start
 	logLimit int
 	lists    map[string]*memberList
-	load     int       // its connections, or the agents that follow it
-	idleAt   time.Time // when it has served the requests in its queue
+	load     int       // number of connections where the list is polled, otherwise of attached agents
+	idleAt   time.Time // when it will have served all queued requests
 	usage    usage
 }
 
@@ -45,8 +45,8 @@
 	}
 }
 
-// reserveCapacity returns the service time of a request with its wait in the queue, or false if that wait is over the
-// limit. The capacity is used even if the request is cancelled.
+// reserveCapacity queues a request and returns the time until it has been served, or false if it would be queued for
+// longer than the limit. A request that is cancelled later still uses the capacity.
 func (r *replica) reserveCapacity(now time.Time, limit time.Duration) (wait time.Duration, ok bool) {
 	if r.RequestRate == 0 {
 		return 0, true
--- a/internal/emulator/registry/replication.go
+++ b/internal/emulator/registry/replication.go
@@ -6,7 +6,7 @@
 	"baylock/internal/discovery"
 )
 
-// delivery is a message between replicas: one change or, without an origin, an exchange of all that each has stored.
+// delivery is a message between replicas: one change or, if origin is nil, an exchange of all stored changes.
 type delivery struct {
 	due       time.Time
 	origin    *replica
@@ -19,18 +19,18 @@
 	s.send(delivery{change: change, endpoints: endpoints, origin: origin})
 }
 
-// synchronize makes all replicas that reach each other exchange their lists. It follows each restart and each healed
-// link, as earlier deliveries were lost.
+// synchronize makes all replicas that can reach each other exchange their lists. It is called after each restart and
+// each change of the links, because deliveries to replicas that were down or unreachable are lost.
 func (s *Service) synchronize() { s.send(delivery{}) }
 
-// send sends a delivery. The delay is the same for all, so they arrive in order.
+// send schedules a delivery. All deliveries have the same delay, so they arrive in order.
 func (s *Service) send(d delivery) {
 	d.due = time.Now().Add(s.config.ReplicationDelay)
 	s.deliveries = append(s.deliveries, d)
 	time.AfterFunc(s.config.ReplicationDelay, s.deliver)
 }
 
-// deliver delivers all that is due.
+// deliver processes all deliveries that are due.
 func (s *Service) deliver() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,13 +68,13 @@
 	}
 }
 
-// dropTombstones removes the tombstones of a list that every replica has.
+// dropTombstones removes those tombstones of a list that every replica has stored.
 func (s *Service) dropTombstones(list string) {
-	settled := s.lastChange
+	replicatedThrough := s.lastChange
 	for _, r := range s.replicas {
-		settled = min(settled, r.list(list).complete())
+		replicatedThrough = min(replicatedThrough, r.list(list).completeThrough())
 	}
 	for _, r := range s.replicas {
-		r.list(list).dropTombstones(settled)
+		r.list(list).dropTombstones(replicatedThrough)
 	}
 }
--- a/internal/emulator/registry/request.go
+++ b/internal/emulator/registry/request.go
@@ -10,16 +10,16 @@
 	"baylock/internal/discovery"
 )
 
-// maxHold is the longest time that a watch may wait.
+// maxHold is the upper limit of the hold time of a watch.
 const maxHold = 60 * time.Second
 
-// listRequest is a client's request for the list.
+// listRequest is a client's parsed request for a list.
 type listRequest struct {
-	fromVersion int64         // version that the client has, or discovery.NoVersion
+	fromVersion int64         // version of the list that the client has, or discovery.NoVersion
 	holdTime    time.Duration // how long the response may wait for a newer version
 }
 
-// requestError says why a request is invalid.
+// requestError describes why a request is invalid.
 type requestError struct {
 	status  int // of the HTTP response
 	message string
@@ -31,7 +31,7 @@
 	return &requestError{status: http.StatusBadRequest, message: fmt.Sprintf(format, args...)}
 }
 
-// parseRequest parses an HTTP request.
+// parseRequest validates an HTTP request and parses its query.
 func parseRequest(r *http.Request) (listRequest, *requestError) {
 	if r.URL.Path != discovery.MembersPath {
 		return listRequest{}, &requestError{http.StatusNotFound, fmt.Sprintf("unknown path %q", r.URL.Path)}
@@ -40,7 +40,7 @@
 		return listRequest{}, &requestError{http.StatusMethodNotAllowed, fmt.Sprintf("method %s, want GET", r.Method)}
 	}
 	if r.ContentLength != 0 {
-		return listRequest{}, badRequest("unexpected body")
+		return listRequest{}, badRequest("request must not have a body")
 	}
 	query, err := url.ParseQuery(r.URL.RawQuery)
 	if err != nil {
@@ -52,10 +52,10 @@
 func parseQuery(query url.Values) (listRequest, *requestError) {
 	from, hold := query[discovery.FromQuery], query[discovery.HoldQuery]
 	if len(from) > 1 || len(hold) > 1 {
-		return listRequest{}, badRequest("duplicate %s or %s", discovery.FromQuery, discovery.HoldQuery)
+		return listRequest{}, badRequest("duplicate parameter %s or %s", discovery.FromQuery, discovery.HoldQuery)
 	}
 	if len(from) == 0 && len(hold) == 1 {
-		return listRequest{}, badRequest("%s without %s", discovery.HoldQuery, discovery.FromQuery)
+		return listRequest{}, badRequest("parameter %s requires %s", discovery.HoldQuery, discovery.FromQuery)
 	}
 	request := listRequest{fromVersion: discovery.NoVersion}
 	if len(from) == 1 {
--- a/internal/emulator/registry/routing.go
+++ b/internal/emulator/registry/routing.go
@@ -1,13 +1,14 @@
 package registry
 
-// linked reports whether two replicas reach each other.
+// linked reports whether two replicas can reach each other.
 func (s *Service) linked(a, b *replica) bool {
 	return a.Zone == b.Zone || s.connected(a.Zone, a.Region, b.Zone, b.Region)
 }
 
-// reaches reports whether a client and a replica reach each other. Clients in an isolated zone reach none.
-func (s *Service) reaches(at Location, r *replica) bool {
-	return s.connected(at.Zone, at.Region, r.Zone, r.Region)
+// reaches reports whether a client and a replica can reach each other. Clients in an isolated zone cannot reach any
+// replica, not even one in their zone.
+func (s *Service) reaches(location Location, r *replica) bool {
+	return s.connected(location.Zone, location.Region, r.Zone, r.Region)
 }
 
 func (s *Service) connected(zoneA, regionA, zoneB, regionB string) bool {
@@ -17,16 +18,16 @@
 	return regionA == regionB || !s.faults.regionsPartitioned
 }
 
-// nearest returns the replica for a client: one of its zone, else of its region, else any, and the least loaded of
-// these. It is nil if the client reaches no live one.
-func (s *Service) nearest(at Location) *replica {
+// nearest returns the replica to use for a client. It prefers replicas in the client's zone, then in its region, then
+// any other, and picks the least loaded of those. It returns nil if the client cannot reach a live replica.
+func (s *Service) nearest(location Location) *replica {
 	var best *replica
 	for _, r := range s.replicas {
-		if !r.live || !s.reaches(at, r) {
+		if !r.live || !s.reaches(location, r) {
 			continue
 		}
-		if best == nil || distance(at, r) < distance(at, best) ||
-			distance(at, r) == distance(at, best) && r.load < best.load {
+		if best == nil || distance(location, r) < distance(location, best) ||
+			distance(location, r) == distance(location, best) && r.load < best.load {
 			best = r
 		}
 	}
@@ -40,11 +41,11 @@
 	otherRegion
 )
 
-func distance(at Location, r *replica) int {
+func distance(location Location, r *replica) int {
 	switch {
-	case at.Zone == r.Zone:
+	case location.Zone == r.Zone:
 		return sameZone
-	case at.Region == r.Region:
+	case location.Region == r.Region:
 		return sameRegion
 	default:
 		return otherRegion
@@ -60,8 +61,8 @@
 	return false
 }
 
-// replicaFor returns the replica that serves a connection's requests now, or nil. An agent keeps its replica while it
-// reaches it.
+// replicaFor returns the replica that currently serves a connection's requests, or nil if there is none. Where the list
+// is pushed, it first attaches the client's agent to another replica if the agent's replica is down or unreachable.
 func (s *Service) replicaFor(c *conn) *replica {
 	if s.config.Poll {
 		if c.replica == nil || !c.replica.live {
@@ -70,11 +71,11 @@
 		return c.replica
 	}
 	s.attachAgent(c.client)
-	c.metered.Store(c.client.replica)
+	c.usageReplica.Store(c.client.replica)
 	return c.client.replica
 }
 
-// attachAgent makes a client's agent follow the nearest replica, unless it reaches the one that it follows.
+// attachAgent attaches a client's agent to the nearest replica, unless its present replica is live and reachable.
 func (s *Service) attachAgent(c *client) {
 	if c.replica != nil && c.replica.live && s.reaches(c.location, c.replica) {
 		return
--- a/internal/emulator/registry/service.go
+++ b/internal/emulator/registry/service.go
@@ -1,10 +1,11 @@
 // Package registry emulates the discovery service: replicas that store endpoint lists, replicate changes and serve
 // clients in wire format, over loopback TCP or in memory. It counts the replicas' load and injects faults.
 //
-// A change is accepted by one replica, is durable from then on, and reaches the others after the replication delay, or
-// once they are live and reachable. Of two changes of one endpoint, the one accepted later wins everywhere. Versions
-// belong to one replica's log since its last start: a client that moves to another replica gets a snapshot, so that it
-// misses nothing. An address serves one list, and its versions mean nothing at the address of another.
+// A change is accepted by one replica and is durable from then on. It reaches each other replica after the replication
+// delay, or once that replica is live and reachable. If two changes affect the same endpoint, the one accepted later
+// wins on every replica. A version is valid only for one replica's log since the replica's last start: a client that
+// moves to another replica gets a snapshot, so that it misses no change. Each address serves one list, and the versions
+// of one list are meaningless at an address that serves another.
 package registry
 
 import (
@@ -31,72 +32,72 @@
 	maxHeaderBytes    = 8 << 10
 )
 
-// Unknown is the Complete of an Observation whose client is not known to have any list.
+// Unknown is the CompleteThrough of an Observation if it is not known which changes the client has.
 const Unknown int64 = -1
 
-// ErrNoReplica reports that no live replica of a region could accept a change.
+// ErrNoReplica is returned if a region has no live, reachable replica that can accept a change.
 var ErrNoReplica = errors.New("no live replica is reachable in the region")
 
 var errClosed = errors.New("the service is closed")
 
-// Location is a client's name and place in the network.
+// Location is a client's name and its location in the network.
 type Location struct{ Name, Zone, Region string }
 
 // ReplicaConfig describes one replica of the service.
 type ReplicaConfig struct {
 	Name, Zone, Region string
-	RequestRate        float64 // capacity in requests a second, where the list is polled; 0: no limit
+	RequestRate        float64 // capacity in requests per second, where the list is polled; 0: no limit
 }
 
 // Config describes the service.
 type Config struct {
 	Replicas []ReplicaConfig
-	// Poll makes the clients poll a shared service, whose replicas serve requests in order at their capacity. Otherwise
-	// the list is pushed to an agent on each client's machine, which responds at once with what it has, and is silent
-	// while it reaches no replica.
+	// Poll makes the clients poll a shared service, whose replicas serve requests in order, limited by their capacity.
+	// Otherwise, the list is pushed to an agent on each client's machine. The agent responds without queueing or
+	// capacity limit, and does not respond while it cannot reach any replica.
 	Poll             bool
-	ReplicationDelay time.Duration // until a change accepted by one replica reaches the others
-	QueueLimit       time.Duration // with Poll: a request that would wait longer is rejected; 0: 1 s
-	LogLimit         int           // entries of a replica's log of one list; 0: 1024
-	Random           *rand.Rand    // of all random draws; the service alone may use it from now on
-	// OnRequest is called for each valid request when it arrives, by many goroutines. It must not call Close, and may
-	// be nil.
+	ReplicationDelay time.Duration // time until a change accepted by one replica reaches the others
+	QueueLimit       time.Duration // with Poll: requests that would be queued for longer are rejected; 0: 1 s
+	LogLimit         int           // maximum number of entries in a replica's log of one list; 0: 1024
+	Random           *rand.Rand    // used for all random choices; no one else may use it while the service runs
+	// OnRequest is called when a valid request arrives, concurrently from many goroutines. It must not call Close, and
+	// may be nil.
 	OnRequest func(Observation)
 }
 
-// Change is a change that the service has accepted.
+// Change identifies a change that the service has accepted.
 type Change struct {
 	List   string
-	Number int64 // counts the accepted changes of all lists, from 1
+	Number int64 // sequence number among the accepted changes of all lists, from 1
 	At     time.Time
 }
 
-// Observation is what a request shows of its client's list.
+// Observation reports which changes of a list a client has, derived from the version in one of its requests.
 type Observation struct {
 	Client, List string
-	// Complete is the number of the change up to which the client has every accepted one of the list, by the version of
-	// its request. It is Unknown without a version, or with one that no log covers.
-	Complete int64
-	At       time.Time
+	// CompleteThrough is the change number up to which the client has every accepted change of the list. It is Unknown
+	// if the request has no version, or one that no replica's log covers.
+	CompleteThrough int64
+	At              time.Time
 }
 
-// Service is the discovery service: its replicas, its clients and the faults in force.
+// Service is the emulated discovery service: its replicas, its clients and the active faults.
 type Service struct {
 	config         Config
 	server         *http.Server
 	memoryListener *memoryListener
 	closed         chan struct{}
-	running        sync.WaitGroup // accept loops, and the server's connections
+	running        sync.WaitGroup // accept loops and the HTTP server's connections
 
-	mu              sync.Mutex // guards all below, and the state of replicas and clients
+	mu              sync.Mutex // guards the fields below and the state of replicas and clients
 	replicas        []*replica
 	lastChange      int64 // number of the last accepted change
-	lastEpoch       int64 // of the latest start of a replica
+	lastEpoch       int64 // epoch of the most recent start of any replica
 	deliveries      []delivery
-	conns           []*conn // in the order of their arrival
+	conns           []*conn // in order of arrival
 	listeners       []net.Listener
 	faults          faults
-	topologyChanged chan struct{} // closed and replaced when replicas or links change
+	topologyChanged chan struct{} // closed and replaced when a replica or a link goes down or recovers
 }
 
 // New starts a service with empty lists.
@@ -131,10 +132,10 @@
 
 func (c Config) check() error {
 	if len(c.Replicas) == 0 {
-		return errors.New("no Replicas")
+		return errors.New("config has no Replicas")
 	}
 	if c.Random == nil {
-		return errors.New("no Random")
+		return errors.New("config has no Random")
 	}
 	if c.ReplicationDelay < 0 || c.QueueLimit < 0 || c.LogLimit < 0 {
 		return fmt.Errorf("negative ReplicationDelay %v, QueueLimit %v or LogLimit %d",
@@ -146,14 +147,14 @@
 			return fmt.Errorf("empty or duplicate replica name %q", r.Name)
 		}
 		if !(r.RequestRate >= 0) {
-			return fmt.Errorf("replica %q: negative RequestRate %v", r.Name, r.RequestRate)
+			return fmt.Errorf("replica %q: RequestRate %v is negative or not a number", r.Name, r.RequestRate)
 		}
 		names[r.Name] = true
 	}
 	return nil
 }
 
-// Close stops the service, its listeners and its connections, and returns once all of its goroutines have ended.
+// Close stops the service, closes its listeners and connections, and returns once all of its goroutines have ended.
 func (s *Service) Close() {
 	s.mu.Lock()
 	select {
@@ -165,10 +166,10 @@
 	s.listeners = nil
 	s.mu.Unlock()
 	for _, l := range listeners {
-		_ = l.Close() // it carries no data
+		_ = l.Close() // a listener has no data to lose
 	}
 	_ = s.server.Close()
-	for _, c := range conns { // the server may not have all of them yet
+	for _, c := range conns { // the server may not have accepted all of them yet
 		_ = c.Close()
 	}
 	s.running.Wait()
@@ -183,11 +184,12 @@
 	}
 }
 
-// Publish makes a live replica of a region accept changes of a list's endpoints. An endpoint that is not on the list is
-// added, and one of status Deleted is removed. The error wraps ErrNoReplica if the region has no such replica.
+// Publish makes a random live replica of a region accept changes to a list's endpoints. An endpoint that is not on the
+// list is added, and one with status Deleted is removed. The error wraps ErrNoReplica if the region has no live replica
+// outside isolated zones.
 func (s *Service) Publish(list, region string, changes ...discovery.Endpoint) (Change, error) {
 	if err := checkChanges(changes); err != nil {
-		return Change{}, fmt.Errorf("publish on list %q: %w", list, err)
+		return Change{}, fmt.Errorf("publish to list %q: %w", list, err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -196,7 +198,7 @@
 	}
 	origin := s.acceptingReplica(region)
 	if origin == nil {
-		return Change{}, fmt.Errorf("publish on list %q in region %q: %w", list, region, ErrNoReplica)
+		return Change{}, fmt.Errorf("publish to list %q in region %q: %w", list, region, ErrNoReplica)
 	}
 	s.lastChange++
 	change := Change{List: list, Number: s.lastChange, At: time.Now()}
@@ -208,7 +210,7 @@
 	return change, nil
 }
 
-// checkChanges checks that clients can read the changes.
+// checkChanges checks that clients can parse the changes, and that no endpoint occurs twice.
 func checkChanges(changes []discovery.Endpoint) error {
 	if len(changes) == 0 {
 		return errors.New("no changes")
@@ -230,7 +232,7 @@
 	return nil
 }
 
-// acceptingReplica draws one of the live replicas of a region whose zones are not isolated.
+// acceptingReplica returns a random live replica of a region, outside isolated zones, or nil if there is none.
 func (s *Service) acceptingReplica(region string) *replica {
 	var candidates []*replica
 	for _, r := range s.replicas {
--- a/internal/emulator/registry/usage.go
+++ b/internal/emulator/registry/usage.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// ReplicaUsage is the load of one replica during some time.
+// ReplicaUsage is the load of one replica over a period of time.
 type ReplicaUsage struct {
 	Name               string
 	Requests, Rejected int64
 	Snapshots          int64 // responses with the complete list
-	BytesIn, BytesOut  int64 // headers included
+	BytesIn, BytesOut  int64 // including HTTP headers
 	PeakRequests       int64 // in the busiest second
 	PeakBytes          int64 // in and out, in the busiest second
 }
 
 // Usage returns the usage of each replica since the previous call of Usage. Where the list is pushed, an agent's
-// requests and bytes count for the replica that it follows. A call within a second divides that second's counts.
+// requests and bytes count for the replica that the agent is attached to. A call in the middle of a second splits that
+// second's counts, and so its peak, between two results.
 func (s *Service) Usage() []ReplicaUsage {
 	usages := make([]ReplicaUsage, 0, len(s.replicas))
 	for _, r := range s.replicas {
@@ -27,9 +28,9 @@
 	return usages
 }
 
-// usage counts the load of a replica.
+// usage counts the load of a replica since the last reset.
 type usage struct {
-	mu               sync.Mutex // guards all below
+	mu               sync.Mutex // guards the fields below
 	total            ReplicaUsage
 	currentSecond    int64 // Unix time
 	requestsInSecond int64
@@ -70,7 +71,7 @@
 	u.addBytes(n)
 }
 
-// addBytes counts bytes in either direction. The lock is held.
+// addBytes counts bytes in either direction. The caller holds u.mu.
 func (u *usage) addBytes(n int) {
 	u.startSecond()
 	u.bytesInSecond += int64(n)
@@ -89,7 +90,7 @@
 	u.total.Snapshots++
 }
 
-// startSecond resets the counts of the second if a new one has begun. The lock is held.
+// startSecond resets the per-second counts if a new second has begun. The caller holds u.mu.
 func (u *usage) startSecond() {
 	now := time.Now().Unix()
 	if now == u.currentSecond {
--- a/internal/scale/propagation/real.go
+++ b/internal/scale/propagation/real.go
@@ -115,7 +115,7 @@
 	if p == nil {
 		return
 	}
-	for len(p.unseen) > 0 && p.unseen[0].number <= o.Complete { // they are in order
+	for len(p.unseen) > 0 && p.unseen[0].number <= o.CompleteThrough { // they are in order
 		c := p.unseen[0]
 		p.unseen = p.unseen[1:]
 		if c.missing--; c.missing == 0 {
--- a/internal/scale/propagation/real_test.go
+++ b/internal/scale/propagation/real_test.go
@@ -30,7 +30,7 @@
 		}
 	}
 	seen := func(client string, complete int64, after time.Duration) {
-		r.observe(registry.Observation{Client: client, Complete: complete, At: at.Add(after)})
+		r.observe(registry.Observation{Client: client, CompleteThrough: complete, At: at.Add(after)})
 	}
 	accept("list")
 	accept("unwatched")
--- a/internal/scale/slopes/subject.go
+++ b/internal/scale/slopes/subject.go
@@ -51,7 +51,7 @@
 	s.registry, err = registry.New(registry.Config{Poll: m.membership == scale.Polled, LogLimit: logLimit,
 		Replicas:  []registry.ReplicaConfig{{Name: "replica-1", Zone: zone, Region: region}},
 		Random:    rand.New(rand.NewPCG(env.Seed, seedStride)),
-		OnRequest: func(o registry.Observation) { s.applied.raise(o.Complete) }})
+		OnRequest: func(o registry.Observation) { s.applied.raise(o.CompleteThrough) }})
 	if err != nil {
 		s.backend.Close()
 		return nil, err
