--- a/.ci/start/main.go
+++ b/.ci/start/main.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// configFormat is the proxy's configuration, with a verb for its listen address.
+// configFormat is the format string of the proxy's configuration. Its argument is the listen address.
 const configFormat = `{"name":"n0","listen":%q,"discovery":"127.0.0.1:1","seed":"1","limits":{"cores":1,"memory_mb":192,` +
 	`"sockets":256},"known":{"index":1,"snapshot":true,"endpoints":[{"name":"a","address":"127.0.0.1:1","zone":"a",` +
 	`"status":"SERVING","since_ms":0}]},"settings":{"contract":{},"failure_domains":["a"],"limits":{` +
@@ -23,7 +23,7 @@
 	`"give_up_us":1000000,"name":"look","objective_us":500000,"repeat":"idempotent","worth":1}],"siblings":1}}`
 
 const (
-	timeout        = 30 * time.Second // of the start and of the shutdown
+	timeout        = 30 * time.Second // for the start and for the shutdown
 	healthInterval = 20 * time.Millisecond
 )
 
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = p.command.Process.Kill() }() // it has ended unless a check failed
+	defer func() { _ = p.command.Process.Kill() }() // it has already ended unless a check failed
 	if err := p.waitUntilHealthy(); err != nil {
 		return err
 	}
@@ -53,7 +53,7 @@
 		return err
 	}
 	if !p.healthy() {
-		return errors.New("not healthy after SIGHUP")
+		return errors.New("the proxy is not healthy after SIGHUP")
 	}
 	if err := p.signal(syscall.SIGTERM, syscall.SIGHUP); err != nil {
 		return err
@@ -68,7 +68,7 @@
 	exited  chan error
 }
 
-// startProxy starts the proxy with its configuration file in a folder.
+// startProxy writes the proxy's configuration file to a directory and starts the proxy with it.
 func startProxy(dir string) (*proxy, error) {
 	address, err := freeAddress()
 	if err != nil {
@@ -103,11 +103,11 @@
 	for deadline := time.Now().Add(timeout); !p.healthy(); time.Sleep(healthInterval) {
 		select {
 		case err := <-p.exited:
-			return fmt.Errorf("exited early: %v", err)
+			return fmt.Errorf("the proxy exited before it was healthy: %v", err)
 		default:
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("not healthy after %v", timeout)
+			return fmt.Errorf("the proxy is not healthy after %v", timeout)
 		}
 	}
 	return nil
@@ -125,18 +125,18 @@
 func (p *proxy) signal(signals ...os.Signal) error {
 	for _, signal := range signals {
 		if err := p.command.Process.Signal(signal); err != nil {
-			return fmt.Errorf("%v: %w", signal, err)
+			return fmt.Errorf("send signal %v: %w", signal, err)
 		}
 	}
 	return nil
 }
 
-// waitForExit returns an error unless the proxy exits with 0 in time.
+// waitForExit returns an error unless the proxy exits with status 0 within timeout.
 func (p *proxy) waitForExit() error {
 	select {
 	case err := <-p.exited:
 		return err
 	case <-time.After(timeout):
-		return fmt.Errorf("still running %v after SIGTERM", timeout)
+		return fmt.Errorf("the proxy still runs %v after SIGTERM", timeout)
 	}
 }
--- a/cmd/scale/experiments.go
+++ b/cmd/scale/experiments.go
@@ -11,7 +11,7 @@
 	"baylock/internal/scale/slopes"
 )
 
-// experiments are all experiments, in the order of the list command.
+// experiments contains all experiments, in the order in which the list command shows them.
 var experiments = []scale.Experiment{
 	slopes.Experiment,
 	propagation.Experiment,
--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -39,11 +39,11 @@
 	return strings.Join(lines, "; ")
 }
 
-// application is the environment of the commands.
+// application holds what all commands use.
 type application struct {
 	experiments []scale.Experiment
 	out, errors io.Writer
-	stopTimeout time.Duration // for an experiment to return once its context has ended
+	stopTimeout time.Duration // how long an experiment may take to return after its context has ended
 }
 
 // commandLine is the tool's command line.
@@ -79,7 +79,7 @@
 		names = append(names, experiment.Name)
 	}
 	slices.Sort(names)
-	return scale.Experiment{}, fmt.Errorf("unknown experiment %q; known are: %s", name, strings.Join(names, ", "))
+	return scale.Experiment{}, fmt.Errorf("unknown experiment %q; known experiments: %s", name, strings.Join(names, ", "))
 }
 
 type listCommand struct{}
@@ -121,7 +121,7 @@
 			return err
 		}
 		if i > 0 {
-			fmt.Fprintln(a.out) // the next write returns an error, too
+			fmt.Fprintln(a.out) // a write error shows again at the next write
 		}
 		if err := show(a.out, result); err != nil {
 			return err
--- a/cmd/scale/main_test.go
+++ b/cmd/scale/main_test.go
@@ -21,16 +21,16 @@
 
 // The test binary also serves as the command, and as the processes that experiments start.
 const (
-	roleVariable    = "SCALE_TEST_ROLE"
-	reportVariable  = "SCALE_TEST_REPORT" // address at which children report to the test
-	commandRole     = "command"
-	childRole       = "child"
-	stubbornRole    = "child that ignores SIGTERM"
-	fakeProxyRole   = "proxy that exits at once"
-	childCount      = 3
-	testStopTimeout = 100 * time.Millisecond // for experiments that never return
-	testTimeout     = time.Minute
-	childReport     = "started\n"
+	roleVariable      = "SCALE_TEST_ROLE"
+	reportVariable    = "SCALE_TEST_REPORT" // address at which children report to the test
+	commandRole       = "command"
+	childRole         = "child"
+	ignoreSIGTERMRole = "child that ignores SIGTERM"
+	fakeProxyRole     = "proxy that exits at once"
+	childCount        = 3
+	testStopTimeout   = 100 * time.Millisecond // short, as some experiments never return
+	testTimeout       = time.Minute
+	childReport       = "started\n"
 )
 
 func TestMain(m *testing.M) {
@@ -40,7 +40,7 @@
 		os.Exit(app.main(os.Args[1:]))
 	case childRole:
 		runChild()
-	case stubbornRole:
+	case ignoreSIGTERMRole:
 		signal.Ignore(syscall.SIGTERM)
 		runChild()
 	case fakeProxyRole:
@@ -77,7 +77,7 @@
 	return []scale.Experiment{
 		{Name: "quick", Summary: "returns two figures at once", Run: quick},
 		{Name: "waiting", Summary: "has children until it is stopped", Run: waitWith(childRole)},
-		{Name: "stubborn", Summary: "has children that ignore SIGTERM", Run: waitWith(stubbornRole)},
+		{Name: "stubborn", Summary: "has children that ignore SIGTERM", Run: waitWith(ignoreSIGTERMRole)},
 		{Name: "unresponsive", Summary: "never returns", Run: unresponsive},
 		{Name: "leaking", Summary: "returns while its children run", Run: leaking},
 		{Name: "memory", Summary: "uses memory without end", Run: useMemory},
@@ -152,14 +152,14 @@
 	return scale.Result{}, err
 }
 
-// commandRun is the command in a process of its own.
+// commandRun is a run of the command in a separate process.
 type commandRun struct {
 	t       *testing.T
 	command *exec.Cmd
 	stdin   io.WriteCloser
 	out     bytes.Buffer
 	errors  bytes.Buffer
-	reports net.Listener // of the children
+	reports net.Listener // accepts the connections of the children
 	folder  string
 }
 
@@ -178,8 +178,8 @@
 	r := &commandRun{t: t, reports: reports, folder: folder, command: exec.Command(os.Args[0], args...)}
 	r.command.Dir = folder
 	r.command.Env = append(os.Environ(), roleVariable+"="+commandRole, reportVariable+"="+reports.Addr().String(),
-		"TMPDIR="+t.TempDir(),      // a command that is killed leaves its folder
-		"GORACE=atexit_sleep_ms=0") // the race detector would have each command wait a second at its end
+		"TMPDIR="+t.TempDir(),      // a killed command doesn't remove its temporary folder
+		"GORACE=atexit_sleep_ms=0") // by default, the race detector makes each command wait for a second before it exits
 	r.command.Env = append(r.command.Env, env...)
 	r.command.Stdout, r.command.Stderr = &r.out, &r.errors
 	if r.stdin, err = r.command.StdinPipe(); err != nil {
@@ -191,14 +191,14 @@
 	return r
 }
 
-// child is the connection of a child; it ends with the child.
+// child is the connection of a child process. It is closed when the child ends.
 type child struct{ net.Conn }
 
 // waitForChildren waits until all children have reported.
 func (r *commandRun) waitForChildren() []child {
 	r.t.Helper()
 	_ = r.reports.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
-	var list []child
+	var children []child
 	for range childCount {
 		conn, err := r.reports.Accept()
 		if err != nil {
@@ -209,15 +209,15 @@
 		if word, err := bufio.NewReader(conn).ReadString('\n'); err != nil || word != childReport {
 			r.t.Fatalf("a child reported %q, %v", word, err)
 		}
-		list = append(list, child{conn})
+		children = append(children, child{conn})
 	}
-	return list
+	return children
 }
 
-// expectEnded fails if a child outlives the command.
-func (r *commandRun) expectEnded(list []child) {
+// expectEnded waits for the end of each child and fails the test if one is still running after testTimeout.
+func (r *commandRun) expectEnded(children []child) {
 	r.t.Helper()
-	for i, c := range list {
+	for i, c := range children {
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF && !strings.Contains(fmt.Sprint(err), "reset") {
 			r.t.Errorf("child %d still runs: %v", i, err)
 		}
@@ -229,12 +229,12 @@
 	r.t.Helper()
 	timeout := time.AfterFunc(testTimeout, func() { _ = r.command.Process.Kill() })
 	defer timeout.Stop()
-	_ = r.command.Wait() // the exit code says the same
+	_ = r.command.Wait() // the exit code tells whether it failed
 	return r.command.ProcessState.ExitCode()
 }
 
-// expectFailure fails unless the command failed with one line of error output that contains the words, and stored no
-// result.
+// expectFailure fails the test unless the command failed with one line of error output that contains the words, and
+// stored no result.
 func (r *commandRun) expectFailure(words ...string) {
 	r.t.Helper()
 	code := r.wait()
@@ -257,7 +257,7 @@
 		args []string
 		want string
 	}{
-		{[]string{"run", "nothing"}, `unknown experiment "nothing"; known are: leaking, memory, panics`},
+		{[]string{"run", "nothing"}, `unknown experiment "nothing"; known experiments: leaking, memory, panics`},
 		{[]string{"run", "quick", "--speed", "9"}, "unknown flag --speed"},
 		{[]string{"run", "quick", "--seed", "low"}, "--seed"},
 		{[]string{"run", "quick", "--timeout", "0s"}, "--timeout 0s"},
@@ -330,12 +330,12 @@
 		for _, signal := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM} {
 			t.Run(name+" "+signal.String(), func(t *testing.T) {
 				r := startCommand(t, "run", name)
-				list := r.waitForChildren()
+				children := r.waitForChildren()
 				if err := r.command.Process.Signal(signal); err != nil {
 					t.Fatal(err)
 				}
 				r.expectFailure("ended by a signal: " + signal.String())
-				r.expectEnded(list)
+				r.expectEnded(children)
 			})
 		}
 	}
@@ -344,27 +344,27 @@
 func TestSignalEndsChildrenThatIgnoreSIGTERM(t *testing.T) {
 	t.Parallel()
 	r := startCommand(t, "run", "stubborn")
-	list := r.waitForChildren()
+	children := r.waitForChildren()
 	if err := r.command.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	r.expectFailure("ended by a signal")
-	r.expectEnded(list)
+	r.expectEnded(children)
 }
 
 func TestTimeoutEndsChildren(t *testing.T) {
 	t.Parallel()
 	r := startCommand(t, "run", "waiting", "--timeout", "8s") // long enough for the children to report
-	list := r.waitForChildren()
+	children := r.waitForChildren()
 	r.expectFailure("exceeded its limit: a time of 8s (--timeout)")
-	r.expectEnded(list)
+	r.expectEnded(children)
 }
 
 func TestMemoryLimitEndsChildren(t *testing.T) {
 	r := startCommand(t, "run", "memory", "--memory-mb", "300")
-	list := r.waitForChildren()
+	children := r.waitForChildren()
 	r.expectFailure("exceeded its limit: 300 MiB of memory")
-	r.expectEnded(list)
+	r.expectEnded(children)
 }
 
 func TestRunEndsChildrenOfReturnedExperiment(t *testing.T) {
@@ -375,7 +375,7 @@
 	r.expectNoChild()
 }
 
-// expectNoChild fails if a child that has reported, or is about to, still runs.
+// expectNoChild fails the test if a child still runs that has reported or that reports within testStopTimeout.
 func (r *commandRun) expectNoChild() {
 	r.t.Helper()
 	_ = r.reports.(*net.TCPListener).SetDeadline(time.Now().Add(testStopTimeout))
@@ -388,6 +388,7 @@
 	}
 }
 
+// expectEndedAfterReport reads a child's report and fails the test if the child doesn't end within testTimeout.
 func (r *commandRun) expectEndedAfterReport(conn net.Conn) {
 	r.t.Helper()
 	defer conn.Close()
@@ -399,24 +400,24 @@
 
 func TestPanicEndsChildren(t *testing.T) {
 	r := startCommand(t, "run", "panics")
-	list := r.waitForChildren()
+	children := r.waitForChildren()
 	if _, err := io.WriteString(r.stdin, "\n"); err != nil {
 		t.Fatal(err)
 	}
 	if code := r.wait(); code == 0 {
 		t.Error("exit code 0")
 	}
-	r.expectEnded(list)
+	r.expectEnded(children)
 }
 
 func TestKillEndsChildren(t *testing.T) {
 	r := startCommand(t, "run", "waiting")
-	list := r.waitForChildren()
+	children := r.waitForChildren()
 	if err := r.command.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
 	r.wait()
-	r.expectEnded(list)
+	r.expectEnded(children)
 }
 
 func TestProxyExitGivesOneErrorLine(t *testing.T) {
--- a/cmd/scale/progress.go
+++ b/cmd/scale/progress.go
@@ -16,7 +16,7 @@
 	started  time.Time
 }
 
-// eraseLine is the terminal's sequence to return to the start of a line and clear it.
+// eraseLine is the control sequence that moves a terminal's cursor to the start of the line and clears the line.
 const eraseLine = "\r\033[K"
 
 func newProgress(out io.Writer, started time.Time) *progress {
@@ -32,7 +32,7 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// show shows one line. Write errors are ignored, as they are no reason to end a run.
+// show shows one line. It ignores write errors, as a run can go on without its progress being shown.
 func (p *progress) show(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/cmd/scale/run.go
+++ b/cmd/scale/run.go
@@ -18,7 +18,7 @@
 const (
 	defaultTimeout = 10 * time.Minute
 	defaultFolder  = "results"
-	stopTimeout    = 10 * time.Second // for an experiment to return once its context has ended
+	stopTimeout    = 10 * time.Second // how long an experiment may take to return after its context has ended
 )
 
 type runCommand struct {
@@ -46,7 +46,7 @@
 		return err
 	}
 	defer os.RemoveAll(env.TempDir)
-	commits := findSources(env.ProxyProgram)
+	commits := readProgramCommits(env.ProxyProgram)
 	started := time.Now()
 	progress := newProgress(a.errors, started)
 	env.Progress = progress.show
@@ -60,12 +60,12 @@
 	result.Duration = time.Since(started)
 	result.Seed = c.Seed
 	result.Small = c.Small
-	result.Commit = commits.of(result)
+	result.Commit = commits.forResult(result)
 	result.Machine = machine(env.Cores)
 	return c.store(a, result)
 }
 
-// environment checks the flags and returns the experiment's environment, without its folder and progress.
+// environment checks the flags and returns the experiment's environment, with TempDir and Progress not yet set.
 func (c runCommand) environment(a *application, experiment scale.Experiment) (scale.Env, error) {
 	env := scale.Env{Seed: c.Seed, Small: c.Small, Budget: scale.NewBudget(),
 		Log: slog.New(slog.NewTextHandler(a.errors, &slog.HandlerOptions{Level: slog.LevelWarn}))}
@@ -89,7 +89,7 @@
 	return env, err
 }
 
-// cores returns the cores of the run, and restricts the tool to them.
+// cores returns the cores that the run may use. If --cpus names them, it restricts the tool to them.
 func (c runCommand) cores() ([]int, error) {
 	allowed, err := scale.AllowedCores()
 	if err != nil || len(c.CPUs) == 0 {
@@ -103,16 +103,17 @@
 			return nil, fmt.Errorf("--cpus: duplicate core %d", core)
 		}
 	}
-	return c.CPUs, scale.RunOn(c.CPUs)
+	return c.CPUs, scale.RestrictToCores(c.CPUs)
 }
 
-// outcome is the return of an experiment.
+// outcome holds what Experiment.Run returned.
 type outcome struct {
 	result scale.Result
 	err    error
 }
 
-// perform runs the experiment within the limits of a run. All of its processes have ended when perform returns.
+// perform runs the experiment until it returns, a limit of the run is exceeded or a signal arrives. All processes of
+// the experiment have ended when perform returns.
 func (c runCommand) perform(experiment scale.Experiment, env scale.Env, stopTimeout time.Duration) (scale.Result, error) {
 	ctx, stopSignals := cancelOnSignal(context.Background())
 	defer stopSignals()
@@ -138,14 +139,15 @@
 	case <-ctx.Done():
 	}
 	select {
-	case <-returned: // a result after the end of the context is not complete
+	case <-returned: // a result returned after the end of the context is incomplete
 		return scale.Result{}, context.Cause(ctx)
 	case <-time.After(stopTimeout):
-		return scale.Result{}, fmt.Errorf("%w; the experiment did not stop", context.Cause(ctx))
+		return scale.Result{}, fmt.Errorf("%w; the experiment did not return in time", context.Cause(ctx))
 	}
 }
 
-// causeOf returns why the context ended in place of the errors that follow from that.
+// causeOf returns the cause of the end of the context if it has ended, since err is then a consequence of that, or else
+// err.
 func causeOf(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
@@ -171,7 +173,7 @@
 	}
 }
 
-// store shows a result and stores it in the folder.
+// store shows a result and stores it in the folder for results.
 func (c runCommand) store(a *application, result scale.Result) error {
 	if err := scale.WriteTable(a.out, result); err != nil {
 		return err
--- a/cmd/scale/source.go
+++ b/cmd/scale/source.go
@@ -16,11 +16,12 @@
 
 const (
 	defaultProgram = "bin/baylock"
-	changedSuffix  = "+changes" // of a commit with uncommitted changes
+	changedSuffix  = "+changes" // appended to a commit if there were uncommitted changes
 )
 
-// findProxy returns the path of the real proxy's program: the given one, else the default in the working folder or at
-// the top of the repository. It is empty if none is given and there is none.
+// findProxy returns the path of the real proxy's program. If none is given, it looks for the default path in the
+// working directory and its parents, up to the top of the repository, and returns an empty path if there is no such
+// program.
 func findProxy(given string) (string, error) {
 	if given != "" {
 		if !isProgram(given) {
@@ -50,41 +51,41 @@
 	return err == nil && info.Mode().IsRegular() && info.Mode()&executable != 0
 }
 
-// sources are the commits of the programs of a run, when it begins.
-type sources struct {
+// programCommits holds the commits from which the programs of a run were built, as read when the run begins.
+type programCommits struct {
 	proxy string // of the real proxy's program
-	tool  string
+	tool  string // of the scale tool
 }
 
-// findSources reads the build information of both programs. Without a commit in it, as after go run or in a linked
-// worktree, the commit is that of the working folder.
-func findSources(program string) sources {
+// readProgramCommits reads the commits from the build information of both programs. If a program's build information
+// has none, as after go run or a build in a linked worktree, the commit is that of the working directory.
+func readProgramCommits(program string) programCommits {
 	working := sync.OnceValue(workingCommit)
 	own, _ := debug.ReadBuildInfo()
-	found := sources{tool: stampedCommit(own)}
-	if found.tool == "" {
-		found.tool = working()
+	commits := programCommits{tool: stampedCommit(own)}
+	if commits.tool == "" {
+		commits.tool = working()
 	}
 	if program == "" {
-		return found
+		return commits
 	}
 	info, err := buildinfo.ReadFile(program)
 	if err != nil { // not a Go program
-		return found
+		return commits
 	}
-	if found.proxy = stampedCommit(info); found.proxy == "" {
-		found.proxy = working()
+	if commits.proxy = stampedCommit(info); commits.proxy == "" {
+		commits.proxy = working()
 	}
-	return found
+	return commits
 }
 
-// of returns the commit of the program that a result was measured on.
-func (s sources) of(result scale.Result) string {
+// forResult returns the commit of the program that a result was measured on.
+func (c programCommits) forResult(result scale.Result) string {
 	isReal := func(f scale.Figure) bool { return f.Source == scale.RealProxy }
 	if slices.ContainsFunc(result.Figures, isReal) {
-		return s.proxy
+		return c.proxy
 	}
-	return s.tool
+	return c.tool
 }
 
 // stampedCommit returns the commit in a program's build information; empty if there is none.
@@ -107,7 +108,7 @@
 	return commit + changed
 }
 
-// workingCommit returns the commit of the working folder, according to git.
+// workingCommit returns the commit of the working directory according to git; empty if that is unknown.
 func workingCommit() string {
 	commit, err := exec.Command("git", "rev-parse", "HEAD").Output()
 	if err != nil { // no repository, or no git
--- a/internal/scale/affinity.go
+++ b/internal/scale/affinity.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	maxCores = 1024 // that a coreMask can hold
-	wordBits = 64
+	maxCores = 1024 // number of cores that a coreMask can hold
+	wordBits = 64   // bits in one element of a coreMask
 )
 
-// coreMask is a set of cores in the kernel's format.
+// coreMask is a set of CPU cores as a bit mask, in the format of sched_setaffinity.
 type coreMask [maxCores / wordBits]uint64
 
 func maskOf(cores []int) (coreMask, error) {
@@ -46,7 +46,7 @@
 	_, _, errno := syscall.RawSyscall(syscall.SYS_SCHED_GETAFFINITY, uintptr(thread), unsafe.Sizeof(mask),
 		uintptr(unsafe.Pointer(&mask)))
 	if errno != 0 {
-		return mask, fmt.Errorf("cores of thread %d: %w", thread, errno)
+		return mask, fmt.Errorf("get the cores of thread %d: %w", thread, errno)
 	}
 	return mask, nil
 }
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// MachineCores returns the number of the machine's cores, those included that the tool may not use.
+// MachineCores returns the number of the machine's cores, including those that the tool may not use.
 func MachineCores() int {
 	folders, err := filepath.Glob("/sys/devices/system/cpu/cpu[0-9]*")
 	if err != nil || len(folders) == 0 {
@@ -75,17 +75,17 @@
 	return mask.cores(), err
 }
 
-// pacingGoroutines is the number of goroutines that may occupy a processor of the scheduler while they sleep in the
-// kernel, as load generators do.
+// pacingGoroutines is the number of goroutines that may hold a processor of the Go scheduler while they sleep in a
+// system call, as load generators do. GOMAXPROCS is raised by this number, so that other goroutines can run meanwhile.
 const pacingGoroutines = 2
 
-// RunOn restricts every thread of the tool to the given cores.
-func RunOn(cores []int) error {
+// RestrictToCores restricts every thread of the tool to the given cores.
+func RestrictToCores(cores []int) error {
 	mask, err := maskOf(cores)
 	if err != nil {
 		return err
 	}
-	for range 2 { // a thread that starts during the first pass may have the old set
+	for range 2 { // a thread that starts during the first pass may inherit the old set
 		if err := setAllThreads(mask); err != nil {
 			return err
 		}
@@ -111,18 +111,19 @@
 	return nil
 }
 
-// WithSeparateCores calls measure with the last of the cores, for the proxies, while the tool is restricted to the
-// others. With one core they share it. The tool may use all of the cores again when WithSeparateCores returns.
+// WithSeparateCores calls measure with the last of the cores, on which measure is to run the proxies, and restricts the
+// tool to the other cores meanwhile. If there is only one core, the tool and the proxies share it. When
+// WithSeparateCores returns, the tool may use all of the cores again.
 func WithSeparateCores(cores []int, measure func(forProxies []int) (Result, error)) (result Result, err error) {
 	if len(cores) < 2 {
 		return measure(cores)
 	}
 	last := len(cores) - 1
-	if err := RunOn(cores[:last]); err != nil {
+	if err := RestrictToCores(cores[:last]); err != nil {
 		return Result{}, err
 	}
 	defer func() {
-		if restoreErr := RunOn(cores); err == nil {
+		if restoreErr := RestrictToCores(cores); err == nil {
 			err = restoreErr
 		}
 	}()
--- a/internal/scale/budget.go
+++ b/internal/scale/budget.go
@@ -17,35 +17,36 @@
 
 // LimitError reports that a run has exceeded one of its limits.
 type LimitError struct {
-	Limit string // in words, with its value
+	Limit string // description with the limit's value, such as "300 processes at once"
 }
 
 // Error names the limit.
 func (e *LimitError) Error() string { return "the run has exceeded its limit: " + e.Limit }
 
-// Budget limits the processes of a run and the memory of them all. It keeps track of each process, so that none
-// outlives the run.
+// Budget limits the number of processes of a run and the total memory of the tool and these processes. It keeps track
+// of each process, so that none outlives the run.
 type Budget struct {
-	mu           sync.Mutex // guards all below
+	mu           sync.Mutex // guards all fields below
 	processes    int
 	maxProcesses int
 	maxMemory    int64 // in bytes
 	started      map[*Process]bool
 }
 
-// NewBudget returns the budget of one run: MaxProcesses, and half of the machine's memory.
+// NewBudget returns the budget of one run: at most MaxProcesses processes and half of the machine's memory.
 func NewBudget() *Budget {
 	return &Budget{maxProcesses: MaxProcesses, maxMemory: machineMemory() / memoryDivisor, started: map[*Process]bool{}}
 }
 
-// LowerMemory lowers the memory limit to the given number of bytes. A higher one has no effect.
+// LowerMemory lowers the memory limit to the given number of bytes. It has no effect if the limit is already
+// lower.
 func (b *Budget) LowerMemory(bytes int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.maxMemory = min(b.maxMemory, bytes)
 }
 
-// AcquireProcess reserves one process of the budget. Its error is a *LimitError if none is left.
+// AcquireProcess reserves one process of the budget. It returns a *LimitError if none is left.
 func (b *Budget) AcquireProcess(context.Context) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -63,7 +64,7 @@
 	b.processes--
 }
 
-// Processes returns the number of processes that the run has now.
+// Processes returns the number of processes that are reserved now.
 func (b *Budget) Processes() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -110,7 +111,7 @@
 	total := own
 	for _, p := range b.running() {
 		resident, err := residentMemory(p.PID())
-		if isGone(err) { // since the list was made
+		if isProcessGone(err) { // it has ended since the list was made
 			continue
 		}
 		if err != nil {
@@ -121,8 +122,8 @@
 	return total, nil
 }
 
-// WatchMemory checks the memory of the run until the context ends. Its error is a *LimitError once it is over the
-// limit.
+// WatchMemory checks the memory of the run periodically until the context ends. It returns a *LimitError as soon as the
+// memory exceeds the limit.
 func (b *Budget) WatchMemory(ctx context.Context) error {
 	tick := time.NewTicker(memoryCheckInterval)
 	defer tick.Stop()
@@ -141,13 +142,13 @@
 func (b *Budget) checkMemory() error {
 	total, err := b.Memory()
 	if err != nil {
-		return fmt.Errorf("memory of the run: %w", err)
+		return fmt.Errorf("measure the memory of the run: %w", err)
 	}
 	b.mu.Lock()
 	limit := b.maxMemory
 	b.mu.Unlock()
 	if total > limit {
-		return &LimitError{fmt.Sprintf("%d MiB of memory (it has %d MiB)", limit>>20, total>>20)}
+		return &LimitError{fmt.Sprintf("%d MiB of memory (it uses %d MiB)", limit>>20, total>>20)}
 	}
 	return nil
 }
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -10,10 +10,11 @@
 	Slope, Intercept float64
 }
 
-// Fit returns the least-squares line through points. It needs at least two different x.
+// Fit returns the least-squares line through the points (x[i], y[i]). It returns an error if there are fewer than two
+// different values of x.
 func Fit(x, y []float64) (Line, error) {
 	if len(x) != len(y) {
-		return Line{}, fmt.Errorf("fit: %d x and %d y", len(x), len(y))
+		return Line{}, fmt.Errorf("fit: %d values of x, but %d values of y", len(x), len(y))
 	}
 	meanX, meanY := mean(x), mean(y)
 	var covariance, variance float64
@@ -22,7 +23,7 @@
 		variance += (x[i] - meanX) * (x[i] - meanX)
 	}
 	if !(variance > 0) {
-		return Line{}, fmt.Errorf("fit: no two different x among %d", len(x))
+		return Line{}, fmt.Errorf("fit: no two different values of x among %d", len(x))
 	}
 	slope := covariance / variance
 	return Line{Slope: slope, Intercept: meanY - slope*meanX}, nil
@@ -36,7 +37,7 @@
 	return sum / float64(len(list))
 }
 
-// Median returns the median of a list; 0 for an empty one.
+// Median returns the median of a list, or 0 if the list is empty.
 func Median(list []float64) float64 {
 	if len(list) == 0 {
 		return 0
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestFitWithoutLineGivesError(t *testing.T) {
+func TestFitInvalidPointsGivesError(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		x, y []float64
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -17,7 +17,7 @@
 // stopTimeout is the time between SIGTERM and SIGKILL.
 const stopTimeout = 3 * time.Second
 
-const logTailBytes = 8 << 10 // of the end of a process's output, for errors
+const logTailBytes = 8 << 10 // kept of the end of a process's output, for error messages
 
 // ErrProcessEnded reports that a process has ended.
 var ErrProcessEnded = errors.New("the process has ended")
@@ -28,22 +28,22 @@
 	Args  []string
 	Env   []string  // "NAME=value", in addition to the tool's own
 	Dir   string    // working directory; empty: the tool's
-	Cores []int     // that it may use; empty: those of the tool
+	Cores []int     // cores that it may use; empty: those of the tool
 	Log   io.Writer // receives its output; may be nil
 }
 
-// Process is a process that the run has started. It is killed when the tool dies for whatever reason, and stopped
-// when the context of its start ends.
+// Process is a process that the run has started. The kernel kills it if the tool ends for any reason. It is stopped
+// when the context that was given to StartProgram ends.
 type Process struct {
 	budget  *Budget
 	command *exec.Cmd
 	started time.Time
-	tail    *tail
-	ended   chan struct{} // closed once it has ended and is returned to the budget
-	err     error         // of its exit; set before ended is closed
+	output  *tailWriter
+	ended   chan struct{} // closed once the process has ended and has been released from the budget
+	err     error         // result of waiting for the process; set before ended is closed
 }
 
-// StartProgram starts a program as a process of the run.
+// StartProgram starts a program as a process of the run. It returns a *LimitError if the budget has no process left.
 func StartProgram(ctx context.Context, env Env, program Program) (*Process, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, context.Cause(ctx)
@@ -51,14 +51,14 @@
 	if err := env.Budget.AcquireProcess(ctx); err != nil {
 		return nil, err
 	}
-	p := &Process{budget: env.Budget, tail: &tail{next: program.Log}, ended: make(chan struct{})}
+	p := &Process{budget: env.Budget, output: &tailWriter{next: program.Log}, ended: make(chan struct{})}
 	p.command = exec.Command(program.Path, program.Args...)
 	p.command.Dir = program.Dir
 	p.command.Env = append(os.Environ(), program.Env...)
-	p.command.Stdout, p.command.Stderr = p.tail, p.tail
-	p.command.WaitDelay = time.Second // for output that its own children hold open
-	// A process group of its own, so that Ctrl-C on a terminal goes to the tool alone, which stops its processes in
-	// order.
+	p.command.Stdout, p.command.Stderr = p.output, p.output
+	p.command.WaitDelay = time.Second // limits the wait for output pipes that the program's own children keep open
+	// The process gets its own process group, so that only the tool receives the SIGINT of Ctrl-C on a terminal. The
+	// tool then stops its processes in an orderly way.
 	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	p.started = time.Now()
 	if err := start(p.command, program.Cores); err != nil {
@@ -77,7 +77,7 @@
 	return p, nil
 }
 
-// reap waits until the process has ended.
+// reap waits until the process has ended and releases it from the budget.
 func (p *Process) reap() {
 	p.err = p.command.Wait()
 	p.budget.remove(p)
@@ -91,16 +91,16 @@
 // Ended returns a channel that is closed once the process has ended.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// Err returns how the process ended, with the last line of its output; nil if it exited with 0. To be called after
-// Ended.
+// Err returns an error that describes how the process ended, with the last line of its output, or nil if it exited with
+// status 0. It may be called only after the channel that Ended returns is closed.
 func (p *Process) Err() error {
 	if p.err == nil {
 		return nil
 	}
-	return fmt.Errorf("%s: %w: %s", p.command.Path, p.err, p.tail.lastLine())
+	return fmt.Errorf("%s: %w: %s", p.command.Path, p.err, p.output.lastLine())
 }
 
-// Signal sends a signal. Its error is ErrProcessEnded if the process has ended.
+// Signal sends a signal. It returns ErrProcessEnded if the process has ended.
 func (p *Process) Signal(signal syscall.Signal) error {
 	err := p.command.Process.Signal(signal)
 	if errors.Is(err, os.ErrProcessDone) {
@@ -125,7 +125,7 @@
 	<-p.ended
 }
 
-// Usage returns the resource usage of the process. Its error is ErrProcessEnded if the process has ended.
+// Usage returns the resource usage of the process. It returns ErrProcessEnded if the process has ended.
 func (p *Process) Usage() (Usage, error) {
 	usage, err := processUsage(p.PID())
 	select {
@@ -133,18 +133,18 @@
 		return Usage{}, ErrProcessEnded
 	default:
 	}
-	if isGone(err) {
+	if isProcessGone(err) {
 		return Usage{}, ErrProcessEnded
 	}
 	return usage, err
 }
 
-// startJobs returns the jobs of the one thread that starts all processes.
+// startJobs returns a channel of functions to run on the one thread that starts all processes.
 var startJobs = sync.OnceValue(func() chan func() {
 	jobs := make(chan func())
 	go func() {
-		// The kernel sends Pdeathsig when the thread that started the child ends, so this one never does. A child
-		// inherits the cores of this thread.
+		// The kernel sends Pdeathsig when the thread that started the child ends, so this thread must never end. A child
+		// inherits the CPU affinity of this thread.
 		runtime.LockOSThread()
 		for job := range jobs {
 			job()
@@ -153,15 +153,16 @@
 	return jobs
 })
 
+// start starts a command with startOnThisThread, on the thread of startJobs.
 func start(command *exec.Cmd, cores []int) error {
 	result := make(chan error)
-	startJobs() <- func() { result <- startOn(command, cores) }
+	startJobs() <- func() { result <- startOnThisThread(command, cores) }
 	return <-result
 }
 
-// startOn starts a command on the given cores, or on those of the tool if there are none. It is called on the thread of
-// startJobs alone.
-func startOn(command *exec.Cmd, cores []int) error {
+// startOnThisThread starts a command restricted to the given cores, or to those of the tool if none are given. It must
+// be called only on the thread of startJobs, whose CPU affinity it changes for the start.
+func startOnThisThread(command *exec.Cmd, cores []int) error {
 	if len(cores) == 0 {
 		return command.Start()
 	}
@@ -179,15 +180,15 @@
 	return errors.Join(command.Start(), setThreadMask(0, own))
 }
 
-// tail is a writer that keeps the end of the output and forwards all of it.
-type tail struct {
+// tailWriter forwards everything written to it and keeps the last logTailBytes of it.
+type tailWriter struct {
 	mu     sync.Mutex // guards buffer
-	next   io.Writer
+	next   io.Writer  // may be nil
 	buffer []byte
 }
 
-// Write never fails, as an error would break the output of the process.
-func (t *tail) Write(data []byte) (int, error) {
+// Write never returns an error, because that would end the copying of the process's output.
+func (t *tailWriter) Write(data []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.next != nil {
@@ -200,7 +201,7 @@
 	return len(data), nil
 }
 
-func (t *tail) lastLine() string {
+func (t *tailWriter) lastLine() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	lines := bytes.Split(bytes.TrimSpace(t.buffer), []byte("\n"))
--- a/internal/scale/proxy.go
+++ b/internal/scale/proxy.go
@@ -19,7 +19,7 @@
 // BuildCommand builds the program of the real proxy at its default path.
 const BuildCommand = "mkdir -p bin && go build -o bin/ ./cmd/baylock"
 
-// The limits of a proxy for which ProxyConfig states none: those of the platform.
+// Limits of a proxy where ProxyConfig sets none. They are those of the platform.
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
@@ -39,9 +39,9 @@
 	Name      string // distinct among the proxies that run at the same time
 	Listen    string // host:port for clients; empty: a free port of 127.0.0.1
 	Console   string // host:port for operators; empty: none
-	Discovery string // host:port
+	Discovery string // host:port of the discovery service
 	Seed      uint64
-	Known     *discovery.List // the list as last known; may be nil
+	Known     *discovery.List // last known endpoint list, with which the proxy starts; may be nil
 	Settings  Settings
 
 	MemoryLimitMB float64   // memory limit in its configuration; 0: 192
@@ -51,19 +51,20 @@
 	Log           io.Writer // receives its output; may be nil
 }
 
-// Proxy is a real proxy that runs.
+// Proxy is a process of the real proxy.
 type Proxy struct {
 	*Process
 	Address    string        // host:port for clients
-	ConfigPath string        // of its configuration file
+	ConfigPath string        // path of its configuration file
 	ReadyAfter time.Duration // from its start until it was healthy
 	config     ProxyConfig
-	port       *portReservation // of Address; nil if the caller chose that
+	port       *portReservation // for the port of Address; nil if the caller chose the address
 }
 
-// StartProxy starts the real proxy's program and returns once GET /_health responds 200, for which it needs an endpoint
-// list from discovery or ProxyConfig.Known. It fails, and leaves no process, if that takes longer than 30 s or if the
-// program or the context ends. The proxy runs until Stop, Kill or the end of the context.
+// StartProxy starts the real proxy's program and returns once GET /_health responds 200. For that, the proxy needs an
+// endpoint list from discovery or ProxyConfig.Known. StartProxy returns an error, and leaves no process, if the proxy
+// is not healthy after 30 s or if the program or the context ends before. The proxy runs until Stop, Kill or the end
+// of the context.
 func StartProxy(ctx context.Context, env Env, config ProxyConfig) (*Proxy, error) {
 	if env.ProxyProgram == "" {
 		return nil, ErrProxyMissing
@@ -72,7 +73,7 @@
 	if config.Listen == "" {
 		port, err := reservePort()
 		if err != nil {
-			return nil, fmt.Errorf("address for proxy %s: %w", config.Name, err)
+			return nil, fmt.Errorf("reserve a port for proxy %s: %w", config.Name, err)
 		}
 		proxy.port, proxy.Address = port, port.address
 	}
@@ -89,8 +90,8 @@
 
 func (p *Proxy) start(ctx context.Context, env Env) error {
 	dir := filepath.Join(env.TempDir, p.config.Name)
-	shared := filepath.Join(dir, "tmp")
-	if err := os.MkdirAll(shared, 0o700); err != nil {
+	tempDir := filepath.Join(dir, "tmp")
+	if err := os.MkdirAll(tempDir, 0o700); err != nil {
 		return err
 	}
 	p.ConfigPath = filepath.Join(dir, "config.json")
@@ -98,7 +99,7 @@
 		return err
 	}
 	process, err := StartProgram(ctx, env, Program{Path: env.ProxyProgram, Cores: p.config.Cores, Log: p.config.Log,
-		Env: []string{"LB_CONFIG=" + p.ConfigPath, "LB_NAME=" + p.config.Name, "TMPDIR=" + shared}})
+		Env: []string{"LB_CONFIG=" + p.ConfigPath, "LB_NAME=" + p.config.Name, "TMPDIR=" + tempDir}})
 	if err != nil {
 		return err
 	}
@@ -111,23 +112,24 @@
 	return nil
 }
 
-// WriteConfig replaces the proxy's configuration file, with the same address. A running proxy reads it at Reload.
+// WriteConfig replaces the proxy's configuration file but keeps the listen address. A running proxy reads the file on
+// Reload.
 func (p *Proxy) WriteConfig(config ProxyConfig) error {
 	data, err := json.MarshalIndent(config.file(p.Address), "", " ")
 	if err != nil {
 		return fmt.Errorf("write configuration: %w", err)
 	}
-	next := p.ConfigPath + ".new" // renamed, so that the proxy never reads a partial file
-	if err := os.WriteFile(next, data, 0o600); err != nil {
+	temporary := p.ConfigPath + ".new" // renamed below, so that the proxy never reads a partial file
+	if err := os.WriteFile(temporary, data, 0o600); err != nil {
 		return fmt.Errorf("write configuration: %w", err)
 	}
-	return os.Rename(next, p.ConfigPath)
+	return os.Rename(temporary, p.ConfigPath)
 }
 
-// Reload makes the proxy read its configuration file again.
+// Reload sends SIGHUP, which makes the proxy read its configuration file again.
 func (p *Proxy) Reload() error { return p.Signal(syscall.SIGHUP) }
 
-// configFile is the form of the configuration file.
+// configFile is the JSON format of the configuration file.
 type configFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -145,6 +147,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
+// file returns the content of the configuration file, with the default limits where c sets none.
 func (c ProxyConfig) file(listen string) configFile {
 	limits := configLimits{Cores: c.CoreLimit, MemoryMB: c.MemoryLimitMB, Sockets: c.SocketLimit}
 	if limits.Cores == 0 {
@@ -160,22 +163,23 @@
 		Seed: strconv.FormatUint(c.Seed, 16), Limits: limits, Known: c.Known, Settings: c.Settings}
 }
 
-// waitUntilReady returns once the proxy is healthy.
+// waitUntilReady returns nil once the proxy is healthy. It returns an error if the process or the context ends before,
+// or after readyTimeout.
 func (p *Proxy) waitUntilReady(ctx context.Context) error {
-	late := time.NewTimer(readyTimeout)
-	defer late.Stop()
-	next := time.NewTicker(healthInterval)
-	defer next.Stop()
+	timeout := time.NewTimer(readyTimeout)
+	defer timeout.Stop()
+	ticker := time.NewTicker(healthInterval)
+	defer ticker.Stop()
 	client := &http.Client{Timeout: healthTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for !healthy(ctx, client, p.Address) {
 		select {
-		case <-next.C:
+		case <-ticker.C:
 		case <-p.Ended():
 			if err := p.Err(); err != nil {
 				return err
 			}
 			return ErrProcessEnded
-		case <-late.C:
+		case <-timeout.C:
 			return fmt.Errorf("not healthy after %v", readyTimeout)
 		case <-ctx.Done():
 			return context.Cause(ctx)
@@ -197,11 +201,11 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// portReservation holds a port of 127.0.0.1 for a proxy, which listens there with SO_REUSEPORT, so that no other
-// program gets it before the proxy starts or between two starts.
+// portReservation is a socket bound to a port of 127.0.0.1, so that no other program gets the port before the proxy
+// starts or between two starts. The proxy itself can listen there because both sockets set SO_REUSEPORT.
 type portReservation struct {
 	address string
-	socket  int
+	socket  int // file descriptor
 }
 
 func reservePort() (*portReservation, error) {
@@ -229,16 +233,16 @@
 	if err != nil {
 		return "", err
 	}
-	name, ok := bound.(*syscall.SockaddrInet4)
+	ipv4, ok := bound.(*syscall.SockaddrInet4)
 	if !ok {
 		return "", fmt.Errorf("bound to %v, want an IPv4 address", bound)
 	}
-	return net.JoinHostPort("127.0.0.1", strconv.Itoa(name.Port)), nil
+	return net.JoinHostPort("127.0.0.1", strconv.Itoa(ipv4.Port)), nil
 }
 
-// close releases the port. A nil reservation has none.
+// close releases the port. It does nothing on a nil reservation.
 func (r *portReservation) close() {
 	if r != nil {
-		_ = syscall.Close(r.socket) // the socket carries no data
+		_ = syscall.Close(r.socket) // an error loses nothing, as the socket carries no data
 	}
 }
--- a/internal/scale/proxy_test.go
+++ b/internal/scale/proxy_test.go
@@ -27,7 +27,8 @@
 	return backend
 }
 
-// proxyConfig has no discovery service, but a known list with one backend.
+// proxyConfig returns a configuration whose discovery service is unreachable and whose known endpoint list has one
+// backend.
 func proxyConfig(backend *traffic.Backend) scale.ProxyConfig {
 	return scale.ProxyConfig{Name: "proxy-1", Discovery: "127.0.0.1:1", Seed: 7,
 		Known:    &discovery.List{Index: 3, Snapshot: true, Endpoints: backend.Endpoints(1, scale.DefaultZones())},
@@ -136,7 +137,7 @@
 
 func TestStartProxyCancelledLeavesNoProcess(t *testing.T) {
 	env, config := scaletest.Env(t), proxyConfig(startBackend(t))
-	config.Known = nil // without a list it never becomes healthy
+	config.Known = nil // without an endpoint list the proxy never becomes healthy
 	stop := errors.New("stopped by the test")
 	ctx, cancel := context.WithCancelCause(t.Context())
 	config.Log = writerFunc(func([]byte) { cancel(stop) })
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -13,7 +13,7 @@
 
 const resultSuffix = ".json"
 
-// Check checks that a result is complete and its values are finite.
+// Check returns an error if a result is incomplete or has a value that is not finite.
 func (r Result) Check() error {
 	if r.Experiment == "" {
 		return errors.New("result: experiment is missing")
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// FileName returns the name of a result's file: experiment, start in UTC and seed.
+// FileName returns the name of a result's file, which consists of the experiment, the start in UTC and the seed.
 func (r Result) FileName() string {
 	small := ""
 	if r.Small {
@@ -75,7 +75,8 @@
 	return r, nil
 }
 
-// StoredResults returns the files of a folder's results by name, so that those of one experiment are in order of time.
+// StoredResults returns the paths of the results in a folder, sorted by name, which puts those of one experiment in
+// chronological order.
 func StoredResults(folder string) ([]string, error) {
 	entries, err := os.ReadDir(folder)
 	if err != nil {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -113,10 +113,10 @@
 	}
 	var limit *LimitError
 	if err := budget.AcquireProcess(t.Context()); !errors.As(err, &limit) {
-		t.Errorf("process %d: %v", MaxProcesses+1, err)
+		t.Errorf("acquire process %d: %v", MaxProcesses+1, err)
 	}
 	if _, err := StartProgram(t.Context(), Env{Budget: budget}, Program{Path: os.Args[0]}); !errors.As(err, &limit) {
-		t.Errorf("one program more: %v", err)
+		t.Errorf("start of a program over the process limit: %v", err)
 	}
 	budget.ReleaseProcess()
 	if err := budget.AcquireProcess(t.Context()); err != nil {
@@ -129,14 +129,14 @@
 	}
 	budget.LowerMemory(1)
 	if err := budget.WatchMemory(t.Context()); !errors.As(err, &limit) {
-		t.Errorf("over the limit of memory: %v", err)
+		t.Errorf("over the memory limit: %v", err)
 	}
 }
 
 const readyWord = "ready"
 
-// startCat starts a program that uses some CPU time and then runs until it is stopped.
-func startCat(t *testing.T, ctx context.Context, budget *Budget, cores []int) *Process {
+// startProgram starts a program that uses some CPU time and then waits until it is stopped.
+func startProgram(t *testing.T, ctx context.Context, budget *Budget, cores []int) *Process {
 	t.Helper()
 	script := "i=0; while [ $i -lt 20000 ]; do i=$((i+1)); done; echo " + readyWord + "; exec cat <>" + fifo(t)
 	log := make(chanWriter, 1)
@@ -146,12 +146,12 @@
 		t.Fatal(err)
 	}
 	if word := <-log; word != readyWord+"\n" {
-		t.Fatalf("its output is %q", word)
+		t.Fatalf("the program wrote %q", word)
 	}
 	return process
 }
 
-// chanWriter sends what is written to it.
+// chanWriter sends everything written to it as strings on the channel.
 type chanWriter chan string
 
 func (c chanWriter) Write(data []byte) (int, error) {
@@ -159,6 +159,7 @@
 	return len(data), nil
 }
 
+// fifo creates a named pipe and returns its path.
 func fifo(t *testing.T) string {
 	t.Helper()
 	path := t.TempDir() + "/fifo"
@@ -172,7 +173,7 @@
 	budget := NewBudget()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	process := startCat(t, ctx, budget, nil)
+	process := startProgram(t, ctx, budget, nil)
 	usage, err := process.Usage()
 	if err != nil || usage.Resident <= 0 || usage.Peak < usage.Resident || usage.CPU <= 0 {
 		t.Errorf("usage %+v, %v", usage, err)
@@ -182,7 +183,7 @@
 		t.Fatal(err)
 	}
 	if total, err := budget.Memory(); err != nil || total <= own/2 || budget.Processes() != 1 {
-		t.Errorf("%d processes, %d bytes with %d of its own, %v", budget.Processes(), total, own, err)
+		t.Errorf("%d processes, %d bytes in total, %d bytes of the tool itself, %v", budget.Processes(), total, own, err)
 	}
 	cancel()
 	<-process.Ended()
@@ -205,9 +206,9 @@
 
 func TestStopAllEndsEveryProcess(t *testing.T) {
 	budget := NewBudget()
-	list := []*Process{startCat(t, t.Context(), budget, nil), startCat(t, t.Context(), budget, nil)}
+	processes := []*Process{startProgram(t, t.Context(), budget, nil), startProgram(t, t.Context(), budget, nil)}
 	budget.StopAll()
-	for _, process := range list {
+	for _, process := range processes {
 		select {
 		case <-process.Ended():
 		default:
@@ -222,11 +223,11 @@
 		t.Fatalf("cores %v, %v", allowed, err)
 	}
 	last := allowed[len(allowed)-1:]
-	process := startCat(t, t.Context(), NewBudget(), last)
+	process := startProgram(t, t.Context(), NewBudget(), last)
 	defer process.Kill()
 	mask, err := threadMask(process.PID())
 	if err != nil || !slices.Equal(mask.cores(), last) {
-		t.Errorf("it runs on %v, %v; want %v", mask.cores(), err, last)
+		t.Errorf("the process runs on %v, %v; want %v", mask.cores(), err, last)
 	}
 	if now, err := AllowedCores(); err != nil || !slices.Equal(now, allowed) {
 		t.Errorf("the tool runs on %v, %v; want %v", now, err, allowed)
--- a/internal/scale/scaletest/scaletest.go
+++ b/internal/scale/scaletest/scaletest.go
@@ -1,5 +1,5 @@
-// Package scaletest supports tests of experiments: it builds the real proxy's program, makes environments and checks
-// figures.
+// Package scaletest provides helpers for the tests of experiments: they build the real proxy's program, create
+// environments and check figures.
 package scaletest
 
 import (
@@ -37,13 +37,15 @@
 	return m.Run()
 }
 
+// fail prints an error and returns the exit code of a failed test run.
 func fail(err error) int {
 	fmt.Fprintln(os.Stderr, err)
 	return 1
 }
 
-// MainInMemory runs the tests of a package whose experiments run under synctest, on one thread, and returns the exit
-// code. The race detector's runtime can crash where thousands of goroutines move between threads (tsan_rtl.cpp:346).
+// MainInMemory runs the tests of a package whose experiments run in memory under synctest, and returns the exit code.
+// It sets GOMAXPROCS to 1, because the race detector's runtime can crash when thousands of goroutines move between
+// threads (tsan_rtl.cpp:346).
 func MainInMemory(m *testing.M) int {
 	runtime.GOMAXPROCS(1)
 	return m.Run()
@@ -67,7 +69,7 @@
 	return scale.Env{Seed: seed, Small: true, Progress: func(string, ...any) {}, Log: slog.New(slog.DiscardHandler)}
 }
 
-// CheckEndOfContext checks, in a synctest bubble, that an experiment in memory ends as soon as its context does.
+// CheckEndOfContext checks, in a synctest bubble, that an in-memory experiment returns as soon as its context ends.
 func CheckEndOfContext(t *testing.T, experiment scale.Experiment, seed uint64) {
 	t.Helper()
 	const (
@@ -80,13 +82,13 @@
 		begin := time.Now()
 		_, err := experiment.Run(ctx, EnvInMemory(seed))
 		if !errors.Is(err, context.DeadlineExceeded) || time.Since(begin) > timeout+tolerance {
-			t.Errorf("error %v after %v", err, time.Since(begin))
+			t.Errorf("got error %v after %v", err, time.Since(begin))
 		}
 	})
 }
 
-// CheckCancelledRun checks that an experiment with processes ends, and leaves none, when its context is cancelled at the
-// first progress message with the given format; empty: at the first message.
+// CheckCancelledRun checks that an experiment returns, and leaves no process, when its context is cancelled at the
+// first progress message with the given format. An empty format stands for any message.
 func CheckCancelledRun(t *testing.T, experiment scale.Experiment, format string) {
 	t.Helper()
 	env := Env(t)
@@ -108,7 +110,8 @@
 // FigureName identifies a figure of a result.
 type FigureName struct{ Case, Quantity string }
 
-// CheckFigures checks that figures are complete, distinct and of the given source. It returns their names.
+// CheckFigures checks that figures are complete, have distinct names and come from the given source. It returns their
+// names.
 func CheckFigures(t *testing.T, figures []scale.Figure, source scale.Source) map[FigureName]bool {
 	t.Helper()
 	seen := map[FigureName]bool{}
@@ -116,7 +119,7 @@
 		name := FigureName{f.Case, f.Quantity}
 		if seen[name] || f.Case == "" || f.Unit == "" || f.Source != source || f.Samples == 0 ||
 			math.IsNaN(f.Value) || f.Value < 0 {
-			t.Errorf("figure %+v", f)
+			t.Errorf("incomplete, duplicate or invalid figure %+v", f)
 		}
 		seen[name] = true
 	}
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -1,7 +1,7 @@
 package scale
 
-// Settings is the settings object of a proxy's configuration. The tags hold its names; the fields have those of
-// balancer.Settings. Durations are in microseconds.
+// Settings is the settings object of a proxy's configuration. The struct tags hold the names in the file; the fields
+// are named as in packages balancer and settings. Durations are in microseconds.
 type Settings struct {
 	Rules         Rules    `json:"contract"`
 	WeightUnit    string   `json:"counted_by"`
@@ -17,13 +17,13 @@
 	CapacityHints string   `json:"weights"`
 }
 
-// The ways in which a proxy gets updates of its endpoint list.
+// The values of Settings.Membership: the ways in which a proxy gets updates of its endpoint list.
 const (
 	Pushed = "automatic" // from an agent on its machine, which responds at once
 	Polled = "subscribe" // from a service that all proxies share
 )
 
-// Rules is what backends and the discovery service require of a proxy.
+// Rules holds what backends and the discovery service require of a proxy.
 type Rules struct {
 	MaxPollInterval   int64   `json:"ask_every_us"`
 	SlowStartDuration int64   `json:"cold_us"`
@@ -32,7 +32,7 @@
 	SlowStartOverload float64 `json:"tip_multiple"`
 }
 
-// Limits is what the deployment permits.
+// Limits holds the limits that the deployment sets.
 type Limits struct {
 	DialTimeout     int64 `json:"dial_timeout_us"`
 	IdleClose       int64 `json:"idle_close_us"`
@@ -60,7 +60,7 @@
 	NotIdempotent     = "at_most_once"
 )
 
-// Tenant is a tenant.
+// Tenant is a tenant with its quotas.
 type Tenant struct {
 	Name          string  `json:"name"`
 	QuotaFraction float64 `json:"portion"`
@@ -80,7 +80,7 @@
 	return []string{"zone-1", "zone-2", "zone-3", "zone-4", "zone-5"}
 }
 
-// The unit of durations is the microsecond.
+// Units of the durations in Settings.
 const (
 	microsecondsPerMillisecond = 1_000
 	microsecondsPerSecond      = 1_000_000
--- a/internal/scale/table.go
+++ b/internal/scale/table.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// displayPrecision is that of the duration of a run.
+// displayPrecision is the precision with which the duration of a run is shown.
 const displayPrecision = 100 * time.Millisecond
 
 var columns = []string{"case", "quantity", "value", "unit", "target", "met", "source", "samples"}
@@ -77,7 +77,7 @@
 		r.Machine.Allowed, r.Machine.Cores, r.Machine.System, r.Machine.Go)
 }
 
-// cells returns a figure's columns.
+// cells returns the columns of a figure's row.
 func (f Figure) cells() []string {
 	target, met, samples := "", "", ""
 	if f.Target != nil {
@@ -92,11 +92,11 @@
 	return []string{f.Case, f.Quantity, formatNumber(f.Value), f.Unit, target, met, string(f.Source), samples}
 }
 
-// formatNumber formats a value with four significant digits, or as an integer from 1,000 on.
+// formatNumber formats a value with four significant digits, or as an integer if its magnitude is at least 1,000.
 func formatNumber(x float64) string {
-	const digits, integersFrom = 4, 1000
-	if x >= integersFrom || x <= -integersFrom {
+	const significantDigits, integerThreshold = 4, 1000
+	if x >= integerThreshold || x <= -integerThreshold {
 		return strconv.FormatFloat(x, 'f', 0, 64)
 	}
-	return strconv.FormatFloat(x, 'g', digits, 64)
+	return strconv.FormatFloat(x, 'g', significantDigits, 64)
 }
--- a/internal/scale/traffic/backend.go
+++ b/internal/scale/traffic/backend.go
@@ -14,7 +14,7 @@
 	"baylock/internal/discovery"
 )
 
-// The headers of a request.
+// The headers that Client sends and Backend reads.
 const (
 	idHeader      = "Request-Id"
 	classHeader   = "Request-Class"
@@ -26,13 +26,13 @@
 var responseBody = []byte("served by a backend of the scale tool; sixty-four bytes in all.\n")
 
 // Backend is a server that responds at once, or after a call to the next tier. Any number of endpoints may have its
-// address: a proxy has separate connections for each.
+// address: a proxy opens separate connections for each endpoint.
 type Backend struct {
 	Address string // host:port
 	server  *http.Server
-	next    *Client // of the next tier; nil in the last
+	next    *Client // calls the next tier; nil in the last tier
 	calls   atomic.Int64
-	done    chan struct{} // closed once it has stopped
+	done    chan struct{} // closed once the server has stopped
 }
 
 // StartBackend starts a backend at a free port of 127.0.0.1. If next is not nil, each request makes a call with it, and
@@ -47,7 +47,7 @@
 	go func() {
 		defer close(b.done)
 		if err := b.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			log.Error("a backend serves no more", "error", err)
+			log.Error("a backend has stopped serving", "error", err)
 		}
 	}()
 	return b, nil
@@ -66,17 +66,17 @@
 	}
 	w.Header()["Date"] = nil
 	w.Header().Set("Content-Length", strconv.Itoa(len(responseBody)))
-	_, _ = w.Write(responseBody) // fails only if the client has gone
+	_, _ = w.Write(responseBody) // fails only if the client has disconnected
 }
 
-// callNext makes the call to the next tier, with the same timeout and an ID of its own.
+// callNext calls the next tier with the timeout of the request and a new ID that is derived from its ID.
 func (b *Backend) callNext(r *http.Request) error {
-	left, err := strconv.Atoi(r.Header.Get(timeoutHeader))
+	timeout, err := strconv.Atoi(r.Header.Get(timeoutHeader))
 	if err != nil {
 		return fmt.Errorf("%s: %w", timeoutHeader, err)
 	}
 	return b.next.Call(Call{ID: r.Header.Get(idHeader) + "n", Class: r.Header.Get(classHeader),
-		Tenant: r.Header.Get(tenantHeader), TimeoutMs: left})
+		Tenant: r.Header.Get(tenantHeader), TimeoutMs: timeout})
 }
 
 // Calls returns the number of requests that have arrived.
@@ -84,11 +84,11 @@
 
 // Close stops the backend and closes its connections.
 func (b *Backend) Close() {
-	_ = b.server.Close() // what remains open ends with the process
+	_ = b.server.Close() // a socket that fails to close ends with the process
 	<-b.done
 }
 
-// Endpoints returns the given number of endpoints with the backend's address, spread over the zones.
+// Endpoints returns the given number of endpoints with the backend's address, distributed evenly over the zones.
 func (b *Backend) Endpoints(count int, zones []string) []discovery.Endpoint {
 	list := make([]discovery.Endpoint, count)
 	for i := range list {
--- a/internal/scale/traffic/client.go
+++ b/internal/scale/traffic/client.go
@@ -14,7 +14,7 @@
 
 const dialTimeout = 2 * time.Second
 
-// Call is one call of an idempotent class.
+// Call is a request of an idempotent class.
 type Call struct {
 	ID, Class, Tenant string
 	TimeoutMs         int // until the client gives up
@@ -25,32 +25,33 @@
 	Status int
 }
 
-// Error gives the status.
-func (e StatusError) Error() string { return "answered with " + strconv.Itoa(e.Status) }
+// Error returns a message with the status.
+func (e StatusError) Error() string { return "response status " + strconv.Itoa(e.Status) }
 
-// Client makes calls to one address. It reuses the connection that was used last, and opens another when all are
-// busy, as the clients of a proxy do. Any number of goroutines may use it at once.
+// Client makes calls to one address. It reuses the most recently used idle connection, and opens another when all are
+// busy, as the clients of a proxy do. It is safe for concurrent use.
 type Client struct {
 	address string
 	mu      sync.Mutex
-	idle    []*connection // the most recently used last
+	idle    []*connection // the most recently used is the last
 	opened  int
 	closed  bool
 }
 
-// connection is a connection with its buffers.
+// connection is a network connection with its buffers.
 type connection struct {
 	net.Conn
 	reader *bufio.Reader
 	buffer []byte
-	used   bool // it has had a response
+	used   bool // a complete response has been read from it
 }
 
-// NewClient returns a client of an address, host:port.
+// NewClient returns a client that makes calls to an address, host:port.
 func NewClient(address string) *Client { return &Client{address: address} }
 
-// Call makes one call and waits for the complete response. Its error is a StatusError for a status other than 200. If a
-// reused connection turns out to be closed, the call is made once more on a new one.
+// Call makes one call and waits for the complete response. It returns a StatusError for a status other than 200. If a
+// reused connection fails before the timeout, usually because the server has closed it, the call is repeated once on a
+// new connection.
 func (c *Client) Call(call Call) error {
 	conn, err := c.acquire()
 	if err != nil {
@@ -76,14 +77,14 @@
 	return nil
 }
 
-// Opened returns the number of connections opened so far.
-func (c *Client) Opened() int {
+// OpenedConnections returns the number of connections opened so far.
+func (c *Client) OpenedConnections() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.opened
 }
 
-// Close closes the idle connections, and the others after their calls.
+// Close closes the idle connections. The others are closed when their calls end.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,7 +128,7 @@
 	c.idle = append(c.idle, conn)
 }
 
-var errTimeout = errors.New("no answer in time")
+var errTimeout = errors.New("no complete response before the timeout")
 
 // exchange sends a request and reads the response.
 func (c *connection) exchange(host string, call Call) (status int, err error) {
@@ -149,13 +150,13 @@
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		return 0, asTimeout(err)
 	}
-	if response.Close { // the next call opens a new connection
+	if response.Close { // the next call fails on this connection and opens a new one
 		c.Conn.Close()
 	}
 	return response.StatusCode, nil
 }
 
-// asTimeout maps a deadline error to errTimeout.
+// asTimeout returns errTimeout for a timeout error, and any other error unchanged.
 func asTimeout(err error) error {
 	if timeout, ok := errors.AsType[net.Error](err); ok && timeout.Timeout() {
 		return errTimeout
--- a/internal/scale/traffic/openloop.go
+++ b/internal/scale/traffic/openloop.go
@@ -11,28 +11,29 @@
 )
 
 const (
-	maxOpenCalls = 4096                  // at the same time
-	maxSleep     = 50 * time.Millisecond // bounds the time until the end of the context is noticed
+	maxOpenCalls = 4096                  // calls that may be open at the same time
+	maxSleep     = 50 * time.Millisecond // limits how late the end of the context is noticed
 )
 
-// OpenLoop starts calls at predetermined times, a Poisson process with the given rate a second, regardless of earlier
-// calls: a slow response delays no other call, and latency counted from the intended time includes all waiting. It
-// returns the number of calls once the last one has ended.
+// OpenLoop starts calls for the given length of time, as a Poisson process with the given rate per second. The start
+// times don't depend on earlier calls: a slow response delays no other call, and a latency measured from the intended
+// start time includes all waiting. OpenLoop returns the number of calls once the last one has ended. It stops early
+// with an error if the context ends, or if more than maxOpenCalls calls would be open at the same time.
 func OpenLoop(ctx context.Context, rate float64, length time.Duration, random *rand.Rand,
 	call func(number int, intended time.Time)) (int, error) {
 	calls := newOpenCalls()
 	defer calls.running.Wait()
-	// The runtime's timers are up to a millisecond late. A locked thread can sleep more precisely.
+	// Timers of the Go runtime fire up to a millisecond late. A locked thread can sleep in the kernel more precisely.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	disableTimerSlack()
-	began, next := time.Now(), time.Duration(0)
+	started, offset := time.Now(), time.Duration(0)
 	for number := 0; ; number++ {
-		next += time.Duration(random.ExpFloat64() / rate * float64(time.Second))
-		if next >= length {
+		offset += time.Duration(random.ExpFloat64() / rate * float64(time.Second))
+		if offset >= length {
 			return number, nil
 		}
-		intended := began.Add(next)
+		intended := started.Add(offset)
 		if !sleepUntil(ctx, intended) {
 			return number, context.Cause(ctx)
 		}
@@ -42,17 +43,17 @@
 	}
 }
 
-// openCalls are the calls that have started and not ended.
+// openCalls tracks the calls that have started but not ended, and limits their number.
 type openCalls struct {
 	running sync.WaitGroup
-	slots   chan struct{} // one element for each of them
+	slots   chan struct{} // holds one element for each open call
 }
 
 func newOpenCalls() *openCalls { return &openCalls{slots: make(chan struct{}, maxOpenCalls)} }
 
-var errTooManyOpen = errors.New("the load has thousands of calls open: answers come more slowly than calls")
+var errTooManyOpen = errors.New("the load generator has thousands of open calls: calls end more slowly than they start")
 
-// start makes a call on a goroutine of its own, unless too many are open.
+// start makes a call on a new goroutine. It returns errTooManyOpen if maxOpenCalls calls are open already.
 func (o *openCalls) start(call func()) error {
 	select {
 	case o.slots <- struct{}{}:
@@ -69,19 +70,20 @@
 // sleepUntil sleeps until the given time. It returns false if the context ends first.
 func sleepUntil(ctx context.Context, instant time.Time) bool {
 	for {
-		left := time.Until(instant)
+		remaining := time.Until(instant)
 		if ctx.Err() != nil {
 			return false
 		}
-		if left <= 0 {
+		if remaining <= 0 {
 			return true
 		}
-		span := syscall.NsecToTimespec(int64(min(left, maxSleep)))
-		_ = syscall.Nanosleep(&span, nil) // if interrupted, the loop continues
+		sleep := syscall.NsecToTimespec(int64(min(remaining, maxSleep)))
+		_ = syscall.Nanosleep(&sleep, nil) // if interrupted, the loop continues
 	}
 }
 
-// disableTimerSlack makes the kernel wake this thread on time, not together with later timers.
+// disableTimerSlack makes the kernel wake the current thread on time. By default, the kernel may delay the wake-up to
+// combine it with later timers.
 func disableTimerSlack() {
 	const setTimerSlack, nanosecond = 29, 1                                       // PR_SET_TIMERSLACK
 	_, _, _ = syscall.RawSyscall(syscall.SYS_PRCTL, setTimerSlack, nanosecond, 0) // an error means up to 50 µs longer sleeps
--- a/internal/scale/traffic/traffic_test.go
+++ b/internal/scale/traffic/traffic_test.go
@@ -46,15 +46,15 @@
 			t.Errorf("%d calls arrived", backend.Calls())
 		}
 	}
-	if client.Opened() != 1 {
-		t.Errorf("%d connections for consecutive calls", client.Opened())
+	if client.OpenedConnections() != 1 {
+		t.Errorf("%d connections for consecutive calls", client.OpenedConnections())
 	}
 	last.Close()
 	if err := client.Call(call("1")); err != (StatusError{http.StatusInternalServerError}) {
-		t.Errorf("without the last tier: %v", err)
+		t.Errorf("call without the last tier: %v", err)
 	}
 	if err := client.Call(call("")); err != (StatusError{http.StatusNotFound}) {
-		t.Errorf("without an ID: %v", err)
+		t.Errorf("call without an ID: %v", err)
 	}
 }
 
@@ -85,8 +85,8 @@
 			t.Fatal(err)
 		}
 	}
-	if client.Opened() != calls {
-		t.Errorf("%d connections for %d calls", client.Opened(), calls)
+	if client.OpenedConnections() != calls {
+		t.Errorf("%d connections for %d calls", client.OpenedConnections(), calls)
 	}
 	listener.Close()
 	if err := client.Call(call("1")); err == nil {
@@ -105,16 +105,17 @@
 	c := call("1")
 	c.TimeoutMs = 1
 	if err := client.Call(c); !errors.Is(err, errTimeout) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want errTimeout", err)
 	}
 }
 
-// The calls wait for each other, so they would never end if one had to wait for those before it.
+// No call ends before the last one has started, so the test would hang if OpenLoop waited for earlier calls before it
+// started the next.
 func TestOpenLoopDoesNotWaitForResponses(t *testing.T) {
 	const rate, length = 2000, 50 * time.Millisecond
-	draw := func() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
+	newRandom := func() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 	want := 0
-	for at, random := 0.0, draw(); ; want++ {
+	for at, random := 0.0, newRandom(); ; want++ {
 		if at += random.ExpFloat64() / rate; at >= length.Seconds() {
 			break
 		}
@@ -123,7 +124,7 @@
 	all := make(chan struct{})
 	var mu sync.Mutex
 	intended := map[int]time.Time{}
-	calls, err := OpenLoop(t.Context(), rate, length, draw(), func(number int, at time.Time) {
+	calls, err := OpenLoop(t.Context(), rate, length, newRandom(), func(number int, at time.Time) {
 		mu.Lock()
 		intended[number] = at
 		mu.Unlock()
@@ -133,11 +134,11 @@
 		<-all
 	})
 	if err != nil || calls != want || len(intended) != want {
-		t.Errorf("%d calls, %d of them different, want %d; %v", calls, len(intended), want, err)
+		t.Errorf("%d calls, %d of them with distinct numbers, want %d; %v", calls, len(intended), want, err)
 	}
 	for i := 1; i < want; i++ {
 		if !intended[i].After(intended[i-1]) {
-			t.Errorf("call %d is intended for %v, the one before for %v", i, intended[i], intended[i-1])
+			t.Errorf("call %d is intended for %v, the previous call for %v", i, intended[i], intended[i-1])
 		}
 	}
 }
@@ -164,11 +165,11 @@
 		}
 	}
 	if err := calls.start(func() {}); !errors.Is(err, errTooManyOpen) {
-		t.Errorf("one more: %v", err)
+		t.Errorf("one call over the limit: %v", err)
 	}
 	close(release)
 	calls.running.Wait()
 	if err := calls.start(func() {}); err != nil {
-		t.Errorf("after the others: %v", err)
+		t.Errorf("after the other calls have ended: %v", err)
 	}
 }
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -13,10 +13,10 @@
 
 const selfPID = 0 // the tool's own process
 
-// Usage is the resource usage of a process since its start, and its present memory.
+// Usage is the resource usage of a process since its start, and its current memory.
 type Usage struct {
 	CPU       time.Duration // user and system time of all threads
-	Resident  int64         // memory in bytes
+	Resident  int64         // resident memory in bytes
 	Anonymous int64         // the part of Resident that is heap and stacks
 	Peak      int64         // highest Resident so far
 	// Bytes and number of read and write calls, on sockets as well as files.
@@ -24,7 +24,7 @@
 	ReadCalls, WriteCalls   int64
 }
 
-// Minus returns the usage since an earlier one. The memory figures stay those of u.
+// Minus returns the usage between an earlier measurement and u. The memory fields stay those of u.
 func (u Usage) Minus(earlier Usage) Usage {
 	u.CPU -= earlier.CPU
 	u.ReadBytes -= earlier.ReadBytes
@@ -69,11 +69,11 @@
 	return pages * int64(os.Getpagesize()), err
 }
 
-// cpuTime returns a process's CPU time from its clock, which counts nanoseconds, unlike /proc with ticks of 10 ms.
+// cpuTime returns a process's CPU time from its CPU clock, which counts nanoseconds, while /proc counts ticks of 10 ms.
 func cpuTime(pid int) (time.Duration, error) {
 	const (
 		schedClock = 2 // CPUCLOCK_SCHED: user and system time
-		pidShift   = 3
+		pidShift   = 3 // position of the process ID in a clock ID
 	)
 	clock := uintptr(^pid<<pidShift | schedClock)
 	var t syscall.Timespec
@@ -115,7 +115,8 @@
 	return fields
 }
 
-// machineMemory returns the memory of this machine in bytes; 0 if it is unknown, so that nothing may be used.
+// machineMemory returns the memory of this machine in bytes. It returns 0 if that is unknown, so that a run may use
+// none.
 func machineMemory() int64 {
 	data, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -124,7 +125,7 @@
 	return parseFields(string(data))["MemTotal"] << 10
 }
 
-// isGone reports whether an error of reading a process's usage means that it has ended.
-func isGone(err error) bool {
+// isProcessGone reports whether an error from reading a process's usage means that the process has ended.
+func isProcessGone(err error) bool {
 	return errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ESRCH) || errors.Is(err, syscall.EINVAL)
 }
