--- a/internal/scale/affinity.go
+++ b/internal/scale/affinity.go
@@ -40,7 +40,7 @@
 	return list
 }
 
-// threadMask returns the cores on which a thread may run; 0 is the calling thread.
+// threadMask returns the cores on which a thread may run. Thread 0 is the calling thread.
 func threadMask(thread int) (coreMask, error) {
 	var mask coreMask
 	_, _, errno := syscall.RawSyscall(syscall.SYS_SCHED_GETAFFINITY, uintptr(thread), unsafe.Sizeof(mask),
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -29,7 +29,8 @@
 	return nil
 }
 
-// FileName returns the name of a result's file, which consists of the experiment, the start in UTC and the seed.
+// FileName returns the name of a result's file, which consists of the experiment, "-small" for its small form, the
+// start in UTC and the seed.
 func (r Result) FileName() string {
 	small := ""
 	if r.Small {
@@ -75,8 +76,8 @@
 	return r, nil
 }
 
-// StoredResults returns the paths of the results in a folder, sorted by name, which puts those of one experiment in
-// chronological order.
+// StoredResults returns the paths of the results in a folder, sorted by name, which puts those of one experiment
+// and form in chronological order.
 func StoredResults(folder string) ([]string, error) {
 	entries, err := os.ReadDir(folder)
 	if err != nil {
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -41,7 +41,7 @@
 	MaxAttempts     int   `json:"try_limit"`
 }
 
-// Class is a class of requests.
+// Class is a class of requests: whether they may be repeated, their time limits and their priority.
 type Class struct {
 	Name             string  `json:"name"`
 	Idempotency      string  `json:"repeat"` // Idempotent, IdempotentWithKey or NotIdempotent
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -11,7 +11,7 @@
 	"unsafe"
 )
 
-const selfPID = 0 // the tool's own process
+const selfPID = 0 // denotes the tool's own process in place of a process ID
 
 // Usage is the resource usage of a process since its start, and its current memory.
 type Usage struct {
