--- a/internal/scale/propagation/changes.go
+++ b/internal/scale/propagation/changes.go
@@ -10,10 +10,11 @@
 	"baylock/internal/timing"
 )
 
-// changeGenerator draws changes. It changes all backends in random order before it changes one again.
+// changeGenerator generates random changes of backends. It changes every backend once, in random order, before it
+// changes any of them again.
 type changeGenerator struct {
 	random    *rand.Rand
-	lists     []string // of each backend
+	lists     []string // endpoint list of each backend
 	endpoints []discovery.Endpoint
 	order     []int
 	next      int
@@ -21,18 +22,18 @@
 
 func newChangeGenerator(random *rand.Rand) *changeGenerator { return &changeGenerator{random: random} }
 
-// add adds a backend with its present state.
+// add adds a backend with its current state.
 func (c *changeGenerator) add(list string, e discovery.Endpoint) {
 	c.lists, c.endpoints = append(c.lists, list), append(c.endpoints, e)
 }
 
-// nextInterval draws the time until the next change of a Poisson process.
+// nextInterval returns a random time until the next change. The changes are a Poisson process.
 func (c *changeGenerator) nextInterval(perSecond float64) time.Duration {
 	return time.Duration(c.random.ExpFloat64() / perSecond * float64(time.Second))
 }
 
-// nextChange changes the next backend: a serving one drains, is removed or restarts, a draining one is removed, and a
-// removed one restarts.
+// nextChange changes the state of the next backend, and returns its list and its new state. A serving backend starts
+// draining, is removed or restarts; a draining one is removed; a removed one restarts.
 func (c *changeGenerator) nextChange(now time.Time) (list string, e discovery.Endpoint) {
 	if c.next%len(c.endpoints) == 0 {
 		c.order = c.random.Perm(len(c.endpoints))
@@ -61,7 +62,7 @@
 	ended  chan error
 }
 
-// publishChanges starts a publisher of drawn changes.
+// publishChanges starts a publisher of generated changes.
 func (f *fleet) publishChanges(ctx context.Context) *publisher {
 	ctx, cancel := context.WithCancel(ctx)
 	p := &publisher{cancel: cancel, ended: make(chan error, 1)}
--- a/internal/scale/propagation/figures.go
+++ b/internal/scale/propagation/figures.go
@@ -16,17 +16,17 @@
 
 // measurement is the result of one job.
 type measurement struct {
-	times        latencyTimes
+	times        trackedLatencies
 	accepted     int // number of accepted changes
 	neverInForce int // number of changes that were not in force at the end
 	polled       bool
 	outage       bool // some changes could not reach some proxies when they were accepted
 	loads        []load
-	traffic      []int64 // bytes of each proxy over all phases
+	traffic      []int64 // bytes on each proxy's discovery connections, over all phases
 	real         *realProxies
 }
 
-// measurement returns what has been measured. Only the proxies' watches may still run.
+// measurement returns the results of the fleet's run. Apart from the proxies' watches, nothing may still be running.
 func (f *fleet) measurement() *measurement {
 	t := f.tracker
 	t.mu.Lock()
@@ -36,30 +36,30 @@
 		accepted:     t.accepted,
 		neverInForce: t.pending,
 		polled:       f.poll,
-		outage:       f.scenario.outOfReach,
+		outage:       f.scenario.hasOutage,
 		loads:        f.load.loads,
 		traffic:      f.load.traffic,
 		real:         f.real,
 	}
 }
 
-// figures returns the figures of one case.
+// figures returns the figures of the case with the given name.
 func (m *measurement) figures(name string) []scale.Figure {
 	b := &figureBuilder{name: name, source: scale.HollowProxy}
 	target := scale.Target(propagationTarget)
 	if m.outage {
-		b.times("accepted, or back in reach, to in force at the last proxy", m.times.inForce, target)
-		b.times("accepted to in force at the last proxy, those out of reach included", m.times.uncorrected, nil)
+		b.addLatencies("accepted, or back in reach, to in force at the last proxy", m.times.inForce, target)
+		b.addLatencies("accepted to in force at the last proxy, those out of reach included", m.times.fromAcceptance, nil)
 	} else {
-		b.times("accepted to in force at the last proxy", m.times.inForce, target)
+		b.addLatencies("accepted to in force at the last proxy", m.times.inForce, target)
 	}
 	b.add("changes never in force", "changes", float64(m.neverInForce), scale.Target(0), m.accepted)
-	b.times("start of a proxy to its list", m.times.startToList, nil)
-	b.times("accepted, or back in reach, to in force at the last started proxy", m.times.atStarted, target)
+	b.addLatencies("start of a proxy to its list", m.times.startToList, nil)
+	b.addLatencies("accepted, or back in reach, to in force at the last started proxy", m.times.atStartedProxies, target)
 	if m.polled {
-		b.load(m.loads)
+		b.addLoad(m.loads)
 	}
-	b.traffic(m.loads, m.traffic)
+	b.addTraffic(m.loads, m.traffic)
 	return append(b.figures, m.real.figures(name)...)
 }
 
@@ -75,7 +75,7 @@
 		Source: b.source, Samples: samples})
 }
 
-func (b *figureBuilder) times(quantity string, l *latencies, target *float64) {
+func (b *figureBuilder) addLatencies(quantity string, l *latencyHistogram, target *float64) {
 	if l.count() == 0 {
 		return
 	}
@@ -84,7 +84,7 @@
 	b.add(quantity+", worst", "s", l.quantile(1), target, l.count())
 }
 
-func (b *figureBuilder) load(loads []load) {
+func (b *figureBuilder) addLoad(loads []load) {
 	all := peakLoad(loads)
 	b.add("calls at all replicas, mean", "calls/s", all.allCalls, nil, 0)
 	b.add("bytes at all replicas, mean", "KB/s", all.allBytes/kilobyte, nil, 0)
@@ -104,7 +104,7 @@
 	}
 }
 
-func (b *figureBuilder) traffic(loads []load, traffic []int64) {
+func (b *figureBuilder) addTraffic(loads []load, traffic []int64) {
 	length := time.Duration(0)
 	for _, l := range loads {
 		length += l.length
--- a/internal/scale/propagation/fleet.go
+++ b/internal/scale/propagation/fleet.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	startLimit = 30 * time.Second       // until all of the first proxies have their lists
-	startPause = 100 * time.Millisecond // then, so that the last of these responses are not measured
+	startTimeout = 30 * time.Second       // for the initial proxies to receive their complete lists
+	startPause   = 100 * time.Millisecond // then, so that the last of these responses are not measured
 )
 
-var errNotStarted = errors.New("the first proxies did not get their lists in time")
+var errNotStarted = errors.New("the initial proxies did not receive their complete endpoint lists in time")
 
 // fleetConfig configures a fleet.
 type fleetConfig struct {
@@ -28,20 +28,20 @@
 	network network
 }
 
-// fleet is a discovery service and the proxies that watch its lists.
+// fleet is an emulated discovery service and the proxies that watch its lists.
 type fleet struct {
 	fleetConfig
 	service  *registry.Service
 	tracker  *tracker
 	changes  *changeGenerator
-	random   *rand.Rand // of the scenario's draws
+	random   *rand.Rand // for the scenario's random choices
 	watchers []*watcher
-	backends map[string]int // number on each list at the start
+	backends map[string]int // initial number of backends on each list
 	load     loadMeter
 	real     *realProxies
 }
 
-// The streams of random numbers that a fleet draws from its seed.
+// The independent streams of random numbers that a fleet derives from its seed.
 const (
 	serviceStream uint64 = iota + 1
 	changeStream
@@ -71,15 +71,16 @@
 		backends:    map[string]int{},
 		real:        real,
 	}
-	if err := f.fill(ctx, stream(watcherStream)); err != nil {
+	if err := f.populate(ctx, stream(watcherStream)); err != nil {
 		f.close()
 		return nil, err
 	}
 	return f, nil
 }
 
-// fill publishes the backends and creates the proxies, each with a backend on its machine.
-func (f *fleet) fill(ctx context.Context, seeds *rand.Rand) error {
+// populate publishes the initial backends and creates the proxies. There is one proxy on the machine of each
+// backend; it watches the list of the next service.
+func (f *fleet) populate(ctx context.Context, seeds *rand.Rand) error {
 	published := map[string]map[string][]discovery.Endpoint{} // by list and region
 	for i := range f.size.proxies {
 		z := zones()[i%len(zones())]
@@ -112,12 +113,12 @@
 			}
 		}
 	}
-	return timing.Wait(ctx, 2*replicationDelay) // so that the first proxies get complete lists
+	return timing.Wait(ctx, 2*replicationDelay) // so that all replicas have the complete lists
 }
 
 func listName(service int) string { return fmt.Sprintf("service-%02d", service) }
 
-// connect opens a proxy's address of the discovery service.
+// connect sets the address of the discovery service for a proxy, and its dialer, which counts the proxy's bytes.
 func (f *fleet) connect(w *watcher) error {
 	address, dial, err := f.network(f.service, w.list, w.location)
 	if err != nil {
@@ -127,21 +128,22 @@
 	return nil
 }
 
-// start starts a proxy.
+// start starts a proxy and tracks the updates that its balancer applies.
 func (f *fleet) start(ctx context.Context, w *watcher) error {
 	f.tracker.addWatcher(w)
-	return w.run(ctx, f.poll, func(list *discovery.List, at time.Time) { f.tracker.applied(w, list, at) })
+	return w.startProxy(ctx, f.poll, func(list *discovery.List, at time.Time) { f.tracker.applied(w, list, at) })
 }
 
-// startUp starts the first proxies, and returns once all have their lists.
-func (f *fleet) startUp(ctx context.Context) error {
+// startInitialProxies starts all proxies, except those of the scenario's late zone, at random times within
+// startSpread. It returns once their lists are complete.
+func (f *fleet) startInitialProxies(ctx context.Context) error {
 	type start struct {
 		after time.Duration
 		w     *watcher
 	}
 	var starts []start
 	for _, w := range f.watchers {
-		if w.location.Zone != f.scenario.zoneHeldBack {
+		if w.location.Zone != f.scenario.lateZone {
 			starts = append(starts, start{time.Duration(f.random.Int64N(int64(f.size.startSpread))), w})
 		}
 	}
@@ -155,19 +157,19 @@
 			return err
 		}
 	}
-	listed := func() bool { return f.tracker.allListed(func(list string) int { return f.backends[list] }) }
-	if !f.tracker.wait(ctx, startLimit, listed) {
+	ready := func() bool { return f.tracker.allListsComplete(func(list string) int { return f.backends[list] }) }
+	if !f.tracker.wait(ctx, startTimeout, ready) {
 		return cmp.Or(ctx.Err(), errNotStarted)
 	}
 	return timing.Wait(ctx, startPause)
 }
 
-// waitUntilInForce waits until all changes are in force, at most for the size's settle time.
+// waitUntilInForce waits until all changes are in force at all proxies, for at most the settle time.
 func (f *fleet) waitUntilInForce(ctx context.Context) {
 	f.tracker.wait(ctx, f.size.settle, func() bool { return f.tracker.allInForce() && f.real.allSeen() })
 }
 
-// close stops the proxies and the service. The context of all that they run has ended.
+// close stops the proxies and the service. The caller must already have cancelled the context that they run in.
 func (f *fleet) close() {
 	for _, w := range f.watchers {
 		w.stop()
--- a/internal/scale/propagation/load.go
+++ b/internal/scale/propagation/load.go
@@ -6,23 +6,23 @@
 	"baylock/internal/emulator/registry"
 )
 
-// load is the load of the service in one phase.
+// load is the load of the discovery service in one phase of a scenario.
 type load struct {
-	phase    string // empty: a phase without figures of its own
+	phase    string // empty if the phase has no figures of its own
 	length   time.Duration
 	replicas []registry.ReplicaUsage
 }
 
-// loadMeter measures the load of the phases.
+// loadMeter measures the load of each phase.
 type loadMeter struct {
 	phase      string
 	phaseStart time.Time
 	loads      []load
-	traffic    []int64 // of each proxy: at the start, and in the end during all phases
+	traffic    []int64 // bytes of each proxy: at the start, and in the end over all phases
 }
 
-// beginLoad begins the first phase.
-func (f *fleet) beginLoad() {
+// beginLoadPhases begins the first phase.
+func (f *fleet) beginLoadPhases() {
 	f.service.Usage() // discards the usage so far
 	f.load.phaseStart = time.Now()
 	for _, w := range f.watchers {
@@ -30,30 +30,30 @@
 	}
 }
 
-// nextLoad ends a phase and begins the next one.
-func (f *fleet) nextLoad(phase string) {
+// nextLoadPhase ends the current phase and begins one with the given name.
+func (f *fleet) nextLoadPhase(phase string) {
 	now := time.Now()
 	f.load.loads = append(f.load.loads, load{f.load.phase, now.Sub(f.load.phaseStart), f.service.Usage()})
 	f.load.phase, f.load.phaseStart = phase, now
 }
 
-// endLoad ends the last phase.
-func (f *fleet) endLoad() {
-	f.nextLoad("")
+// endLoadPhases ends the last phase.
+func (f *fleet) endLoadPhases() {
+	f.nextLoadPhase("")
 	for i, w := range f.watchers {
 		f.load.traffic[i] = w.traffic.Load() - f.load.traffic[i]
 	}
 }
 
-// replicaLoad is the load of one replica, or the highest of any replica.
+// replicaLoad holds the highest value of any replica for each quantity, and some totals of all replicas.
 type replicaLoad struct {
-	calls, bytes         float64 // mean a second
-	allCalls, allBytes   float64 // the same of all replicas together
+	calls, bytes         float64 // mean per second
+	allCalls, allBytes   float64 // mean per second of all replicas together
 	peakCalls, peakBytes int64   // in the busiest second
 	rejected             int64   // by all replicas together
 }
 
-// peakLoad returns the highest figures of any replica over the given phases.
+// peakLoad returns the highest values of any replica over the given phases.
 func peakLoad(loads []load) replicaLoad {
 	var out replicaLoad
 	length := 0.0
--- a/internal/scale/propagation/network.go
+++ b/internal/scale/propagation/network.go
@@ -9,16 +9,16 @@
 	"baylock/internal/emulator/registry"
 )
 
-// network opens a proxy's connection to the discovery service: its address, and the dialer for it.
+// network returns the address at which the discovery service serves a list to a proxy, and its dialer.
 type network func(s *registry.Service, list string, at registry.Location) (string, discovery.Dialer, error)
 
-// overTCP opens a loopback address for each proxy.
+// overTCP is a network that listens on a loopback address for each proxy.
 func overTCP(s *registry.Service, list string, at registry.Location) (string, discovery.Dialer, error) {
 	address, err := s.Listen(list, at)
 	return address, (&net.Dialer{}).DialContext, err
 }
 
-// countBytes makes a dialer's connections count their bytes.
+// countBytes wraps a dialer so that its connections add the bytes that they read and write to a counter.
 func countBytes(dial discovery.Dialer, bytes *atomic.Int64) discovery.Dialer {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
@@ -29,7 +29,7 @@
 	}
 }
 
-// countingConn counts the bytes that it reads and writes.
+// countingConn is a connection that counts the bytes that it reads and writes.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
--- a/internal/scale/propagation/propagation.go
+++ b/internal/scale/propagation/propagation.go
@@ -1,7 +1,7 @@
-// Package propagation measures how long changes of endpoint lists take until they are in force at every proxy that
-// watches the list, and the load of the watches on the discovery service. The proxies are hollow ones, with a few
-// real ones; the service is that of package registry. Scenarios with several faults run with pushed and with polled
-// lists.
+// Package propagation measures the time from the acceptance of a change of an endpoint list until the change is in
+// force at every proxy that watches the list, and the load of the watches on the discovery service. Most proxies
+// are hollow, a few are real; package registry emulates the discovery service. There are several scenarios with
+// faults or starts of proxies, and one without; each runs once with pushed and once with polled lists.
 package propagation
 
 import (
@@ -17,14 +17,14 @@
 	"baylock/internal/scale"
 )
 
-// Experiment is the experiment.
+// Experiment runs all scenarios, each with pushed and with polled lists.
 var Experiment = scale.Experiment{
 	Name:    "propagation",
-	Summary: "time from a change's acceptance to in force at the last proxy, and the load on discovery",
+	Summary: "time from a change's acceptance until it is in force at every proxy, and the load on discovery",
 	Run:     run,
 }
 
-// job is one scenario with pushed or polled lists.
+// job is a run of one scenario with either pushed or polled lists.
 type job struct {
 	scenario scenario
 	poll     bool
@@ -44,13 +44,13 @@
 	if env.Small {
 		size = smallSize()
 	}
-	size.parallel = min(size.parallel, jobsAtOnce(size))
+	size.parallel = min(size.parallel, maxParallelJobs(size))
 	return runJobs(ctx, env, size, allJobs(env.Seed))
 }
 
-// jobsAtOnce returns how many jobs the limit of file descriptors allows at once, at least one.
-func jobsAtOnce(size size) int {
-	const perProxy = 4 // a listener, both ends of a connection, and sometimes those of a second one
+// maxParallelJobs returns how many jobs can run in parallel within the limit of file descriptors. It is at least 1.
+func maxParallelJobs(size size) int {
+	const perProxy = 4 // for a listener, both ends of a connection, and sometimes those of a second connection
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return 1
@@ -58,14 +58,14 @@
 	return int(max(1, min(limit.Cur/uint64(perProxy*size.proxies), math.MaxInt32)))
 }
 
-// runJobs runs jobs over TCP, and returns their figures in order of the jobs.
+// runJobs runs jobs over TCP, and returns their figures in the order of the jobs.
 func runJobs(ctx context.Context, env scale.Env, size size, jobs []job) (scale.Result, error) {
 	figures := make([][]scale.Figure, len(jobs))
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(size.parallel)
 	for i, j := range jobs {
 		group.Go(func() error {
-			env.Progress("%s: begins", j.name())
+			env.Progress("%s: started", j.name())
 			measured, err := j.run(ctx, env, size, overTCP)
 			if err != nil {
 				return fmt.Errorf("%s: %w", j.name(), err)
@@ -86,14 +86,14 @@
 	random := rand.New(rand.NewPCG(seed, 0))
 	var jobs []job
 	for _, s := range scenarios() {
-		for _, ask := range []bool{true, false} {
-			jobs = append(jobs, job{scenario: s, poll: ask, seed: random.Uint64()})
+		for _, polled := range []bool{true, false} {
+			jobs = append(jobs, job{scenario: s, poll: polled, seed: random.Uint64()})
 		}
 	}
 	return jobs
 }
 
-// run runs the scenario with a new fleet.
+// run runs the scenario on a new fleet.
 func (j job) run(ctx context.Context, env scale.Env, size size, network network) (*measurement, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	f, err := newFleet(ctx, fleetConfig{job: j, size: size, network: network})
@@ -102,8 +102,8 @@
 		return nil, err
 	}
 	defer f.close()
-	defer cancel() // before the service closes
-	if err := f.startUp(ctx); err != nil {
+	defer cancel() // runs before f.close
+	if err := f.startInitialProxies(ctx); err != nil {
 		return nil, err
 	}
 	if env.ProxyProgram != "" && j.scenario.hasRealProxies() {
@@ -111,7 +111,7 @@
 			return nil, err
 		}
 	}
-	f.beginLoad()
+	f.beginLoadPhases()
 	changes := f.publishChanges(ctx)
 	if err := j.scenario.run(ctx, f); err != nil {
 		return nil, err
@@ -119,7 +119,7 @@
 	if err := changes.stop(); err != nil {
 		return nil, err
 	}
-	f.endLoad()
+	f.endLoadPhases()
 	f.waitUntilInForce(ctx)
 	return f.measurement(), ctx.Err()
 }
--- a/internal/scale/propagation/propagation_test.go
+++ b/internal/scale/propagation/propagation_test.go
@@ -17,14 +17,14 @@
 
 const testSeed = 20261202
 
-// The network delays of the tests.
+// The latencies of the in-memory network.
 const (
-	minDelay    = 200 * time.Microsecond // each way
+	minDelay    = 200 * time.Microsecond // one way
 	delaySpread = 300 * time.Microsecond
 )
 
-// inMemory opens connections without sockets. Each proxy has a latency of its own, as on a network, so that no two
-// requests arrive at the same time and their order does not depend on the scheduler.
+// inMemory is a network without sockets. Each proxy has a different latency, so that no two requests arrive at the same
+// time and their order does not depend on the scheduler.
 func inMemory(s *registry.Service, list string, at registry.Location) (string, discovery.Dialer, error) {
 	hash := fnv.New64a()
 	hash.Write([]byte(at.Name))
@@ -40,7 +40,7 @@
 	}, nil
 }
 
-// delayedConn delays writes.
+// delayedConn is a connection that delays each write.
 type delayedConn struct {
 	net.Conn
 	delay time.Duration
@@ -63,15 +63,17 @@
 	return m
 }
 
-// bounds are the bounds of a scenario's worst time, in seconds. There is a lower one where the fault matters.
+// bounds limits a scenario's worst propagation time, in seconds. Where the fault must delay changes, min exceeds the
+// replication delay.
 type bounds struct{ min, max float64 }
 
-// Some scenarios need little more than the replication delay of 50 ms and some service time. A silent watch is found
-// out after its hold time and timeout: 2 s and 0.1 s where the list is pushed; 2.5 s and 0.5 s where it is polled,
-// and then the snapshot waits in the queue. There each failed request lengthens the hold time by a quarter, and each
-// response shortens it by 50 ms, so that repeated silences take more than the target of 3 s. An isolated zone
-// silences the watches of clients in other zones that are connected to its replica.
-var worstTimes = map[string]bounds{
+// Scenarios whose faults do not delay changes need little more than the replication delay of 50 ms and some service
+// time. A client detects a silent watch after the watch's hold time and a timeout: 2 s and 0.1 s where the list is
+// pushed; 2.5 s and 0.5 s where it is polled, and then the request for the snapshot waits in the replica's queue. With
+// polling, each failed request lengthens the hold time by a quarter and each response shortens it by 50 ms, so that
+// repeated silences take more than the target of 3 s. While a zone is isolated, the watches of clients in other zones
+// that are connected to its replica are silent.
+var worstTimeBounds = map[string]bounds{
 	"asked, regions apart and back":          {0.05, 0.5},
 	"pushed, regions apart and back":         {0.05, 0.5},
 	"asked, watches silent now and then":     {1.5, 3.8},
@@ -93,35 +95,35 @@
 func TestScenariosStayWithinBounds(t *testing.T) {
 	for _, j := range allJobs(testSeed) {
 		t.Run(j.name(), func(t *testing.T) {
-			m, bounds := runInMemory(t, j), worstTimes[j.name()]
+			m, bounds := runInMemory(t, j), worstTimeBounds[j.name()]
 			if worst := m.times.inForce.quantile(1); worst < bounds.min || worst > bounds.max {
-				t.Errorf("worst %v s, bounds %v", worst, bounds)
+				t.Errorf("worst time %v s, want it within %v", worst, bounds)
 			}
 			if m.neverInForce != 0 {
-				t.Errorf("%d of %d changes are not in force", m.neverInForce, m.accepted)
+				t.Errorf("%d of %d changes are not in force at the end", m.neverInForce, m.accepted)
 			}
 			if n := m.times.inForce.count(); n != m.accepted || n < 20 {
-				t.Errorf("%d changes of %d measured", n, m.accepted)
+				t.Errorf("%d of %d changes were measured", n, m.accepted)
 			}
 			checkStarts(t, j, m)
 		})
 	}
 }
 
-// checkStarts checks the figures of proxies that start during a scenario.
+// checkStarts checks the latencies of proxies that start during a scenario.
 func checkStarts(t *testing.T, j job, m *measurement) {
 	t.Helper()
 	started := 0
-	if j.scenario.zoneHeldBack != "" {
+	if j.scenario.lateZone != "" {
 		started = smallSize().proxies / len(zones())
 	}
 	if n := m.times.startToList.count(); n != started {
-		t.Errorf("%d starts are timed, want %d", n, started)
+		t.Errorf("%d starts were timed, want %d", n, started)
 	}
 	if worst := m.times.startToList.quantile(1); worst > 0.5 {
 		t.Errorf("a proxy got its list after %v s", worst)
 	}
-	if worst := m.times.atStarted.quantile(1); worst > 0.5 {
+	if worst := m.times.atStartedProxies.quantile(1); worst > 0.5 {
 		t.Errorf("a change was in force at the started proxies after %v s", worst)
 	}
 }
@@ -131,25 +133,25 @@
 		t.Run(j.name(), func(t *testing.T) {
 			first, second := runInMemory(t, j).figures(j.name()), runInMemory(t, j).figures(j.name())
 			if len(first) != len(second) {
-				t.Fatalf("%d figures, then %d", len(first), len(second))
+				t.Fatalf("first run returned %d figures, second run %d", len(first), len(second))
 			}
 			for i, f := range first {
 				if f.Quantity != second[i].Quantity || f.Value != second[i].Value || f.Samples != second[i].Samples {
-					t.Errorf("%+v, then %+v", f, second[i])
+					t.Errorf("first run returned %+v, second run %+v", f, second[i])
 				}
 			}
 		})
 	}
 }
 
-func TestJobWithOtherSeedGivesOtherFigures(t *testing.T) {
+func TestJobWithDifferentSeedGivesDifferentFigures(t *testing.T) {
 	one, other := runInMemory(t, allJobs(testSeed)[0]), runInMemory(t, allJobs(testSeed + 1)[0])
 	if one.times.inForce.quantile(1) == other.times.inForce.quantile(1) && one.accepted == other.accepted {
 		t.Errorf("both seeds give %d changes and %v s", one.accepted, one.times.inForce.quantile(1))
 	}
 }
 
-// synctest fails if anything runs on.
+// synctest fails the test if a goroutine of the job does not end.
 func TestJobEndsWithContext(t *testing.T) {
 	for _, j := range allJobs(testSeed) {
 		for _, after := range []time.Duration{50 * time.Millisecond, 500 * time.Millisecond, 3 * time.Second} {
@@ -168,7 +170,7 @@
 	}
 }
 
-// tinySize takes some seconds of real time.
+// tinySize returns a size for runs that take a few seconds of real time.
 func tinySize() size {
 	s := smallSize()
 	s.proxies = 10
@@ -222,7 +224,7 @@
 		}
 	}
 	if len(result.Notes) == 0 {
-		t.Error("no notes")
+		t.Error("the result has no notes")
 	}
 }
 
--- a/internal/scale/propagation/real.go
+++ b/internal/scale/propagation/real.go
@@ -10,35 +10,36 @@
 	"baylock/internal/scale"
 )
 
-// realProxies are real proxies that watch lists together with the hollow ones. A real proxy does not report when a
-// change is in force. Its next watch shows that, as it starts from the version that its event loop has applied.
+// realProxies are the real proxies that watch lists along with the hollow ones. A real proxy does not report when a
+// change is in force, so this is derived from its next watch request, which contains the version of the list that its
+// event loop has applied. A proxy has seen a change once it has sent such a request with a version that includes it.
 type realProxies struct {
 	mu       sync.Mutex
-	proxies  map[string]*realProxy // by the client name of their requests
-	expected int                   // number of changes that any of them watches
-	pending  int                   // number of changes that some have not shown yet
-	times    *latencies            // from a change's acceptance until the last proxy of its list has shown it
+	proxies  map[string]*realProxy // by the client name in their requests
+	expected int                   // number of changes of lists that any of the proxies watches
+	pending  int                   // number of these changes that some proxies have not seen yet
+	times    *latencyHistogram     // from a change's acceptance until the last proxy that watches its list has seen it
 	started  []*scale.Proxy
 }
 
-// realProxy is the state of one of them.
+// realProxy is the state of one real proxy.
 type realProxy struct {
 	list   string
-	unseen []*trackedChange
+	unseen []*unseenChange
 }
 
-// trackedChange is an accepted change that real proxies have to show.
-type trackedChange struct {
+// unseenChange is an accepted change that some real proxies have not seen yet.
+type unseenChange struct {
 	number  int64
 	at      time.Time
-	missing int // number of proxies that have not shown it
+	missing int // number of proxies that have not seen it
 }
 
 func newRealProxies() *realProxies {
-	return &realProxies{proxies: map[string]*realProxy{}, times: newLatencies()}
+	return &realProxies{proxies: map[string]*realProxy{}, times: newLatencyHistogram()}
 }
 
-// startReal starts real proxies in rotating zones and with rotating lists.
+// startReal starts the real proxies and distributes them over the zones and the lists in rotation.
 func (f *fleet) startReal(ctx context.Context, env scale.Env) error {
 	for i := range f.size.realProxies {
 		z := zones()[i%len(zones())]
@@ -56,20 +57,20 @@
 	return nil
 }
 
-func (f *fleet) realConfig(name, address string, number int) scale.ProxyConfig {
+func (f *fleet) realConfig(name, address string, index int) scale.ProxyConfig {
 	membership := scale.Pushed
 	if f.poll {
 		membership = scale.Polled
 	}
 	settings := scale.DefaultSettings(membership)
-	settings.Replicas, settings.ReplicaIndex = f.size.realProxies, number
-	settings.Zones, settings.Zone = zoneNames(), number%len(zones())
-	// several jobs share one folder
-	return scale.ProxyConfig{Name: fmt.Sprintf("%s-%x", name, f.seed), Discovery: address, Seed: f.seed + uint64(number),
+	settings.Replicas, settings.ReplicaIndex = f.size.realProxies, index
+	settings.Zones, settings.Zone = zoneNames(), index%len(zones())
+	// The seed makes the name unique, as several jobs share one folder.
+	return scale.ProxyConfig{Name: fmt.Sprintf("%s-%x", name, f.seed), Discovery: address, Seed: f.seed + uint64(index),
 		Settings: settings}
 }
 
-// add adds a proxy, which has to show all changes of its list from now on.
+// add adds a proxy. It is expected to see all changes of its list from now on.
 func (r *realProxies) add(name, list string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,7 +86,7 @@
 	return nil
 }
 
-// publish publishes a change and tracks it. The lock keeps observations out until both are done.
+// publish publishes a change and tracks it. It holds the lock, so that no request is observed between the two steps.
 func (r *realProxies) publish(accept func() (registry.Change, error)) (registry.Change, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -93,7 +94,7 @@
 	if err != nil {
 		return accepted, err
 	}
-	c := &trackedChange{number: accepted.Number, at: accepted.At}
+	c := &unseenChange{number: accepted.Number, at: accepted.At}
 	for _, p := range r.proxies {
 		if p.list == accepted.List {
 			p.unseen = append(p.unseen, c)
@@ -107,7 +108,8 @@
 	return accepted, nil
 }
 
-// observe handles the observation of a request to the discovery service.
+// observe handles a request to the discovery service: if it is a real proxy's, it marks the changes that the proxy has
+// seen.
 func (r *realProxies) observe(o registry.Observation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -115,7 +117,7 @@
 	if p == nil {
 		return
 	}
-	for len(p.unseen) > 0 && p.unseen[0].number <= o.Complete { // they are in order
+	for len(p.unseen) > 0 && p.unseen[0].number <= o.Complete { // unseen is in order of acceptance
 		c := p.unseen[0]
 		p.unseen = p.unseen[1:]
 		if c.missing--; c.missing == 0 {
@@ -125,7 +127,7 @@
 	}
 }
 
-// allSeen reports whether all changes have been seen.
+// allSeen reports whether all proxies have seen all changes of their lists.
 func (r *realProxies) allSeen() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -134,14 +136,14 @@
 
 // stop stops the proxies.
 func (r *realProxies) stop() {
-	var ends sync.WaitGroup
+	var exits sync.WaitGroup
 	for _, p := range r.started {
-		ends.Go(p.Kill)
+		exits.Go(p.Kill)
 	}
-	ends.Wait()
+	exits.Wait()
 }
 
-// figures returns the figures of one case; none if there was no change to be seen.
+// figures returns the figures of the case with the given name, or nil if there was no change of a watched list.
 func (r *realProxies) figures(name string) []scale.Figure {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -149,7 +151,8 @@
 		return nil
 	}
 	b := &figureBuilder{name: name, source: scale.RealProxy}
-	b.times("accepted to seen at the last real proxy, by its next watch", r.times, scale.Target(propagationTarget))
+	b.addLatencies("accepted to seen at the last real proxy, by its next watch", r.times,
+		scale.Target(propagationTarget))
 	b.add("changes never seen at a real proxy", "changes", float64(r.pending), scale.Target(0), r.expected)
 	return b.figures
 }
--- a/internal/scale/propagation/real_test.go
+++ b/internal/scale/propagation/real_test.go
@@ -71,10 +71,10 @@
 			return f.Case == j.name() && f.Source == scale.RealProxy && f.Quantity == "changes never seen at a real proxy"
 		})
 		if at < 0 || result.Figures[at].Value != 0 || result.Figures[at].Samples == 0 {
-			t.Errorf("%s: no figure of real proxies that have seen all, at %d", j.name(), at)
+			t.Errorf("%s: no figure shows that the real proxies saw all changes; index %d", j.name(), at)
 		}
 	}
 	if n := env.Budget.Processes(); n != 0 {
-		t.Errorf("%d processes still run", n)
+		t.Errorf("%d processes are still running", n)
 	}
 }
--- a/internal/scale/propagation/scenario.go
+++ b/internal/scale/propagation/scenario.go
@@ -7,20 +7,21 @@
 	"baylock/internal/timing"
 )
 
-// scenario is what happens to the service and the proxies while changes are published.
+// scenario is what happens while changes are published: faults, starts or restarts of proxies, or nothing.
 type scenario struct {
-	name         string
-	zoneHeldBack string // its proxies start later than the others
-	outOfReach   bool   // some changes can't reach some proxies when they are accepted
-	run          func(ctx context.Context, f *fleet) error
+	name      string
+	lateZone  string // zone whose proxies start later than the others; empty if there is none
+	hasOutage bool   // some changes can't reach some proxies when they are accepted
+	run       func(ctx context.Context, f *fleet) error
 }
 
-// hasRealProxies reports whether real proxies take part: if every change can reach all proxies from the start.
-func (s scenario) hasRealProxies() bool { return !s.outOfReach && s.zoneHeldBack == "" }
+// hasRealProxies reports whether real proxies take part, which they do if every change can reach all proxies
+// when it is accepted.
+func (s scenario) hasRealProxies() bool { return !s.hasOutage && s.lateZone == "" }
 
 func scenarios() []scenario {
-	return []scenario{ // the longest first, as some run at the same time
-		{name: "regions apart and back", outOfReach: true, run: runPartition},
+	return []scenario{ // the longest first, as several run in parallel
+		{name: "regions apart and back", hasOutage: true, run: runPartition},
 		{name: "watches silent now and then", run: func(ctx context.Context, f *fleet) error {
 			return runSilences(ctx, f, f.size.longSilenceInterval)
 		}},
@@ -28,14 +29,14 @@
 			return runSilences(ctx, f, f.size.shortSilenceInterval)
 		}},
 		{name: "calm", run: runFaultFree},
-		{name: "a replica killed and back", outOfReach: true, run: runReplicaKilled},
-		{name: "a zone cut and back", outOfReach: true, run: runZoneCut},
-		{name: "a zone's proxies start at once", zoneHeldBack: startedZone, run: runZoneStarts},
-		{name: "restarts of proxies", outOfReach: true, run: runRestarts},
+		{name: "a replica killed and back", hasOutage: true, run: runReplicaKilled},
+		{name: "a zone cut and back", hasOutage: true, run: runZoneIsolated},
+		{name: "a zone's proxies start at once", lateZone: startedZone, run: runZoneStarts},
+		{name: "restarts of proxies", hasOutage: true, run: runRestarts},
 	}
 }
 
-// The phases with load figures of their own.
+// The names of the phases that have their own load figures. They are parts of the figures' names.
 const (
 	atRecovery = "at the return"
 	afterKill  = "after the kill"
@@ -50,15 +51,15 @@
 	if err := timing.Wait(ctx, f.size.beforeFault); err != nil {
 		return err
 	}
-	f.nextLoad(afterKill)
-	f.tracker.beginOutage(justBefore(time.Now()))
+	f.nextLoadPhase(afterKill)
+	f.tracker.beginOutage(notYetReplicated(time.Now()))
 	if err := f.service.Kill(killedReplica); err != nil {
 		return err
 	}
 	if err := timing.Wait(ctx, f.size.outage); err != nil {
 		return err
 	}
-	f.nextLoad(atRecovery)
+	f.nextLoadPhase(atRecovery)
 	f.tracker.endOutage(time.Now())
 	if err := f.service.Restart(killedReplica); err != nil {
 		return err
@@ -66,35 +67,38 @@
 	return timing.Wait(ctx, f.size.afterFault)
 }
 
-// runSilences silences all watches several times.
-func runSilences(ctx context.Context, f *fleet, every time.Duration) error {
+// runSilences silences all watches several times, at the given interval.
+func runSilences(ctx context.Context, f *fleet, interval time.Duration) error {
 	if err := timing.Wait(ctx, f.size.beforeFault); err != nil {
 		return err
 	}
 	for range f.size.silences {
 		f.service.SilenceWatches()
-		if err := timing.Wait(ctx, every); err != nil {
+		if err := timing.Wait(ctx, interval); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// justBefore selects the changes that may be at a lost replica alone.
-func justBefore(lost time.Time) outOfReach {
+// notYetReplicated selects the changes that only a replica lost at the given time may have: those accepted less
+// than the replication delay before.
+func notYetReplicated(lostAt time.Time) unreachableFunc {
 	return func(_ *watcher, c *change) bool {
-		return c.at.Before(lost) && c.at.After(lost.Add(-replicationDelay))
+		return c.at.Before(lostAt) && c.at.After(lostAt.Add(-replicationDelay))
 	}
 }
 
-func runZoneCut(ctx context.Context, f *fleet) error {
+func runZoneIsolated(ctx context.Context, f *fleet) error {
 	if err := timing.Wait(ctx, f.size.beforeFault); err != nil {
 		return err
 	}
-	alone := justBefore(time.Now())
-	f.tracker.beginOutage(func(w *watcher, c *change) bool { return w.location.Zone == cutZone || alone(w, c) })
-	f.service.CutZone(cutZone)
-	return runRecovery(ctx, f, f.size.outage, func() { f.service.HealZone(cutZone) })
+	notReplicated := notYetReplicated(time.Now())
+	f.tracker.beginOutage(func(w *watcher, c *change) bool {
+		return w.location.Zone == isolatedZone || notReplicated(w, c)
+	})
+	f.service.CutZone(isolatedZone)
+	return runRecovery(ctx, f, f.size.outage, func() { f.service.HealZone(isolatedZone) })
 }
 
 func runPartition(ctx context.Context, f *fleet) error {
@@ -106,12 +110,12 @@
 	return runRecovery(ctx, f, f.size.partition, f.service.HealRegions)
 }
 
-// runRecovery ends an outage after the given time.
+// runRecovery waits for the length of an outage, ends the outage, and waits until the end of the scenario.
 func runRecovery(ctx context.Context, f *fleet, length time.Duration, heal func()) error {
 	if err := timing.Wait(ctx, length); err != nil {
 		return err
 	}
-	f.nextLoad(atRecovery)
+	f.nextLoadPhase(atRecovery)
 	f.tracker.endOutage(time.Now())
 	heal()
 	return timing.Wait(ctx, f.size.afterFault)
@@ -121,7 +125,7 @@
 	if err := timing.Wait(ctx, f.size.beforeFault); err != nil {
 		return err
 	}
-	f.nextLoad(atStart)
+	f.nextLoadPhase(atStart)
 	f.tracker.timeStarts()
 	for _, w := range f.watchers {
 		if w.location.Zone != startedZone {
@@ -134,25 +138,25 @@
 	return timing.Wait(ctx, f.size.afterFault)
 }
 
-// runRestarts stops proxies one after the other, and restarts each after its down time with its last list.
+// runRestarts stops random proxies one after the other. Each restarts after the down time with its last list.
 func runRestarts(ctx context.Context, f *fleet) error {
 	if err := timing.Wait(ctx, f.size.beforeFault); err != nil {
 		return err
 	}
 	f.tracker.timeStarts()
-	drawn := f.random.Perm(len(f.watchers))[:f.size.restarts]
-	every := f.size.restartSpan / time.Duration(len(drawn))
-	down := int(f.size.downTime / every) // number of proxies that are down at the same time
-	for i := range len(drawn) + down {
-		if i < len(drawn) {
-			f.watchers[drawn[i]].stop()
+	chosen := f.random.Perm(len(f.watchers))[:f.size.restarts]
+	interval := f.size.restartSpan / time.Duration(len(chosen))
+	downCount := int(f.size.downTime / interval) // number of proxies that are down at the same time
+	for i := range len(chosen) + downCount {
+		if i < len(chosen) {
+			f.watchers[chosen[i]].stop()
 		}
-		if i >= down {
-			if err := f.start(ctx, f.watchers[drawn[i-down]]); err != nil {
+		if i >= downCount {
+			if err := f.start(ctx, f.watchers[chosen[i-downCount]]); err != nil {
 				return err
 			}
 		}
-		if err := timing.Wait(ctx, every); err != nil {
+		if err := timing.Wait(ctx, interval); err != nil {
 			return err
 		}
 	}
--- a/internal/scale/propagation/topology.go
+++ b/internal/scale/propagation/topology.go
@@ -12,10 +12,10 @@
 	west = "west"
 )
 
-// zone is one zone.
+// zone is a zone and its region.
 type zone struct{ name, region string }
 
-// zones returns the zones, by index.
+// zones returns all zones, in order of their index.
 func zones() []zone {
 	return []zone{{"zone-1", east}, {"zone-2", east}, {"zone-3", east}, {"zone-4", west}, {"zone-5", west}}
 }
@@ -28,14 +28,14 @@
 	return names
 }
 
-// The replica and the zones of the faults.
+// The replica and the zones that the scenarios' faults and late starts affect.
 const (
 	killedReplica = "replica-1"
-	cutZone       = "zone-1" // has a replica
-	startedZone   = "zone-3" // has none
+	isolatedZone  = "zone-1" // has a replica
+	startedZone   = "zone-3" // has no replica
 )
 
-// replicas returns the service's replicas, two in each region, in zones of their own.
+// replicas returns the replicas of the discovery service: two in each region, each in a different zone.
 func replicas(callsPerSecond float64) []registry.ReplicaConfig {
 	var configs []registry.ReplicaConfig
 	for i, number := range []int{0, 1, 3, 4} {
--- a/internal/scale/propagation/tracker.go
+++ b/internal/scale/propagation/tracker.go
@@ -8,7 +8,7 @@
 	"baylock/internal/discovery"
 )
 
-// endpointState is the state of an endpoint, as far as changes set it.
+// endpointState is the part of an endpoint's state that changes modify.
 type endpointState struct {
 	status  discovery.Status
 	sinceMs int64
@@ -22,48 +22,48 @@
 	return endpointState{status: e.Status, sinceMs: e.SinceMs}
 }
 
-// change is an accepted change of one endpoint that is tracked.
+// change is an accepted change of one endpoint, tracked until it is in force.
 type change struct {
 	list, endpoint string
-	revision       int // index among the states of the endpoint
+	revision       int // index of the new state in the tracker's revisions of the endpoint
 	region         string
 	at             time.Time
 
-	missing           int           // number of proxies without it
-	maxLatency        time.Duration // until it was in force at the last proxy so far, from when it could reach that proxy
-	maxTotalLatency   time.Duration // the same from the acceptance
-	maxStartedLatency time.Duration // maxLatency of the proxies whose starts are timed; 0: none
+	missing           int           // number of proxies that have not applied it
+	maxLatency        time.Duration // highest of any proxy so far, from when the change could reach the proxy
+	maxTotalLatency   time.Duration // highest of any proxy so far, from the acceptance
+	maxStartedLatency time.Duration // maxLatency of the proxies whose starts are timed; 0 if there are none
 }
 
-// outOfReach reports whether a change can't reach a proxy during an outage.
-type outOfReach func(*watcher, *change) bool
+// unreachableFunc reports whether a change can't reach a proxy during an outage.
+type unreachableFunc func(*watcher, *change) bool
 
-// tracker tracks changes until they are in force at all proxies that watch their list. As versions of the list differ
-// between replicas, it recognizes a change by the state of its endpoint. A proxy with a later state of the endpoint has
-// the change, too.
+// tracker tracks changes until they are in force at all proxies that watch their list. Because versions of a list differ
+// between replicas, it recognizes a change by the state of the endpoint. A proxy that has a later state of the endpoint
+// also has the change.
 type tracker struct {
 	mu          sync.Mutex
-	watchers    map[string][]*watcher // that have started, by list
-	revisions   map[string][]endpointState
-	pending     int
-	accepted    int
-	timed       bool // starts are timed from now on
-	unreachable outOfReach
-	recoveredAt time.Time // end of the outage; zero before
-	progress    chan struct{}
-	times       latencyTimes
+	watchers    map[string][]*watcher      // proxies that have started at least once, by list
+	revisions   map[string][]endpointState // all states of each endpoint so far, by name
+	pending     int                        // number of changes that are not in force yet
+	accepted    int                        // number of accepted changes
+	startTimed  bool                       // proxies that start now have their start timed
+	unreachable unreachableFunc
+	recoveredAt time.Time     // end of the outage; zero before that
+	progress    chan struct{} // receives after each update that a proxy has applied; holds one
+	times       trackedLatencies
 }
 
-// latencyTimes are the latencies that a tracker measures.
-type latencyTimes struct {
-	inForce, uncorrected, atStarted, startToList *latencies
+// trackedLatencies are the latencies that a tracker measures.
+type trackedLatencies struct {
+	inForce, fromAcceptance, atStartedProxies, startToList *latencyHistogram
 }
 
 func newTracker() *tracker {
 	return &tracker{watchers: map[string][]*watcher{}, revisions: map[string][]endpointState{},
 		progress: make(chan struct{}, 1),
-		times: latencyTimes{inForce: newLatencies(), uncorrected: newLatencies(), atStarted: newLatencies(),
-			startToList: newLatencies()}}
+		times: trackedLatencies{inForce: newLatencyHistogram(), fromAcceptance: newLatencyHistogram(),
+			atStartedProxies: newLatencyHistogram(), startToList: newLatencyHistogram()}}
 }
 
 // setInitial sets the initial state of an endpoint.
@@ -71,19 +71,19 @@
 	t.revisions[e.Name] = []endpointState{stateOf(e)}
 }
 
-// addWatcher adds a proxy that starts to those that have to get the changes. A restarted proxy also has to get those
-// that it has missed.
+// addWatcher registers a proxy that starts: from now on, changes count as in force only once it has applied them. A
+// restarted proxy must also apply the changes that it has missed.
 func (t *tracker) addWatcher(w *watcher) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w.startedAt, w.awaitsList, w.timed = time.Now(), w.entries == nil, t.timed
-	if !w.joined {
-		w.joined = true
+	w.startedAt, w.awaitsList, w.startTimed = time.Now(), w.entries == nil, t.startTimed
+	if !w.registered {
+		w.registered = true
 		t.watchers[w.list] = append(t.watchers[w.list], w)
 	}
 }
 
-// publish publishes a change and tracks it. The lock keeps updates of the proxies out until both are done.
+// publish publishes a change and tracks it. It holds the lock, so that no update is handled between the two steps.
 func (t *tracker) publish(list, region string, e discovery.Endpoint, accept func() (time.Time, error)) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -109,28 +109,28 @@
 	w.apply(list)
 	if w.awaitsList {
 		w.awaitsList = false
-		if w.timed {
+		if w.startTimed {
 			t.times.startToList.add(at.Sub(w.startedAt))
 		}
 	}
-	left := w.pending[:0]
+	remaining := w.pending[:0]
 	for _, c := range w.pending {
-		if t.has(w, c) {
+		if t.hasChange(w, c) {
 			t.markInForce(w, c, at)
 		} else {
-			left = append(left, c)
+			remaining = append(remaining, c)
 		}
 	}
-	clear(w.pending[len(left):])
-	w.pending = left
+	clear(w.pending[len(remaining):])
+	w.pending = remaining
 	select {
 	case t.progress <- struct{}{}:
 	default:
 	}
 }
 
-// has reports whether a proxy has a change, or a later one of the same endpoint.
-func (t *tracker) has(w *watcher, c *change) bool {
+// hasChange reports whether a proxy has a change, or a later one of the same endpoint.
+func (t *tracker) hasChange(w *watcher, c *change) bool {
 	state := stateOf(w.entries[c.endpoint])
 	for _, later := range t.revisions[c.endpoint][c.revision:] {
 		if state == later {
@@ -144,7 +144,7 @@
 func (t *tracker) markInForce(w *watcher, c *change, at time.Time) {
 	from := t.reachableFrom(w, c, at)
 	c.maxLatency, c.maxTotalLatency = max(c.maxLatency, at.Sub(from)), max(c.maxTotalLatency, at.Sub(c.at))
-	if w.timed {
+	if w.startTimed {
 		c.maxStartedLatency = max(c.maxStartedLatency, at.Sub(from))
 	}
 	if c.missing--; c.missing > 0 {
@@ -152,14 +152,14 @@
 	}
 	t.pending--
 	t.times.inForce.add(c.maxLatency)
-	t.times.uncorrected.add(c.maxTotalLatency)
+	t.times.fromAcceptance.add(c.maxTotalLatency)
 	if c.maxStartedLatency > 0 {
-		t.times.atStarted.add(c.maxStartedLatency)
+		t.times.atStartedProxies.add(c.maxStartedLatency)
 	}
 }
 
-// reachableFrom returns when a change could first reach a proxy: at its acceptance, or at the end of the proxy's
-// outage.
+// reachableFrom returns when a change could first reach a proxy: at its acceptance, at the proxy's start, or at the end
+// of the outage.
 func (t *tracker) reachableFrom(w *watcher, c *change, at time.Time) time.Time {
 	from := c.at
 	if w.startedAt.After(from) {
@@ -171,18 +171,18 @@
 	return from
 }
 
-// timeStarts makes the tracker time all starts from now on.
+// timeStarts makes the tracker time all starts of proxies from now on.
 func (t *tracker) timeStarts() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.timed = true
+	t.startTimed = true
 }
 
-// beginOutage sets which changes can't reach which proxies until endOutage.
-func (t *tracker) beginOutage(apart outOfReach) {
+// beginOutage begins an outage, during which the given function selects the changes that can't reach a proxy.
+func (t *tracker) beginOutage(isUnreachable unreachableFunc) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.unreachable = apart
+	t.unreachable = isUnreachable
 }
 
 func (t *tracker) endOutage(at time.Time) {
@@ -198,8 +198,8 @@
 	return t.pending == 0
 }
 
-// allListed reports whether each running proxy has a complete list, of the given size.
-func (t *tracker) allListed(sizeOf func(list string) int) bool {
+// allListsComplete reports whether the list of each started proxy has at least the given number of endpoints.
+func (t *tracker) allListsComplete(sizeOf func(list string) int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for list, watchers := range t.watchers {
@@ -212,12 +212,12 @@
 	return true
 }
 
-// wait waits until a condition holds that the proxies' updates bring about. It returns false if that takes longer
-// than the limit or the context ends first.
-func (t *tracker) wait(ctx context.Context, limit time.Duration, isSo func() bool) bool {
+// wait waits until a condition holds, and checks it after each update that a proxy applies. It returns false if the
+// limit passes or the context ends first.
+func (t *tracker) wait(ctx context.Context, limit time.Duration, condition func() bool) bool {
 	timeout := time.NewTimer(limit)
 	defer timeout.Stop()
-	for !isSo() {
+	for !condition() {
 		select {
 		case <-t.progress:
 		case <-timeout.C:
--- a/internal/scale/propagation/tracker_test.go
+++ b/internal/scale/propagation/tracker_test.go
@@ -11,7 +11,7 @@
 
 const testList = "service-00"
 
-// trackerTest tests a tracker with updates of its own.
+// trackerTest is a tracker under test. Its methods publish changes and apply updates at times relative to start.
 type trackerTest struct {
 	*testing.T
 	tracker *tracker
@@ -58,7 +58,7 @@
 	tt.tracker.applied(w, list, tt.start.Add(after))
 }
 
-// want checks the number of pending changes and the worst time of the others, in seconds.
+// want checks the number of pending changes, and the worst time in seconds of the changes that are in force.
 func (tt *trackerTest) want(pending int, worst float64) {
 	tt.Helper()
 	if got := tt.tracker.pending; got != pending {
@@ -92,7 +92,7 @@
 	tt.publish(time.Second, east, drained)
 	tt.publish(2*time.Second, east, withStatus(drained, discovery.Deleted))
 	tt.publish(3*time.Second, east, serving("a", 3000))
-	tt.apply(w, 4*time.Second, true) // it is not listed
+	tt.apply(w, 4*time.Second, true) // the endpoint is not on the list
 	tt.want(1, 3)
 	tt.apply(w, 5*time.Second, false, serving("a", 3000))
 	tt.want(0, 3)
@@ -111,11 +111,11 @@
 	tt.tracker.endOutage(tt.start.Add(60 * time.Second))
 	tt.apply(far, 60100*time.Millisecond, false, changed)
 	tt.want(0, 0.2)
-	if got := tt.tracker.times.uncorrected.quantile(1); got < 59 {
-		t.Errorf("the uncorrected time is %v s", got)
+	if got := tt.tracker.times.fromAcceptance.quantile(1); got < 59 {
+		t.Errorf("the time since the acceptance is %v s, want at least 59 s", got)
 	}
 	again := serving("b", 61000)
-	tt.publish(61*time.Second, east, again) // after the outage all count alike
+	tt.publish(61*time.Second, east, again) // accepted after the outage, so the outage has no effect
 	tt.apply(near, 61100*time.Millisecond, false, again)
 	tt.apply(far, 62*time.Second, false, again)
 	tt.want(0, 1)
@@ -133,10 +133,10 @@
 	tt.apply(w, 3100*time.Millisecond, true, changed)
 	tt.want(0, 0.1)
 	if n := tt.tracker.times.startToList.count(); n != 0 {
-		t.Errorf("%d starts with a list are timed", n)
+		t.Errorf("%d starts of proxies that had a list were timed", n)
 	}
-	if n := tt.tracker.times.atStarted.count(); n != 1 {
-		t.Errorf("%d changes are timed at started proxies", n)
+	if n := tt.tracker.times.atStartedProxies.count(); n != 1 {
+		t.Errorf("%d changes were timed at started proxies, want 1", n)
 	}
 }
 
@@ -146,7 +146,7 @@
 	w := tt.watcher("zone-1", east)
 	tt.apply(w, 300*time.Millisecond, true, serving("a", 0))
 	if got := tt.tracker.times.startToList; got.count() != 1 || got.quantile(1) < 0.29 || got.quantile(1) > 0.31 {
-		t.Errorf("%d starts, worst %v s", got.count(), got.quantile(1))
+		t.Errorf("%d starts were timed, the worst took %v s", got.count(), got.quantile(1))
 	}
 }
 
@@ -164,7 +164,7 @@
 			now := time.UnixMilli(int64(1 + round*backends + i))
 			_, e := c.nextChange(now)
 			if seen[e.Name] {
-				t.Fatalf("round %d changes %s twice", round, e.Name)
+				t.Fatalf("round %d changed %s twice", round, e.Name)
 			}
 			if before, known := last[e.Name]; known && stateOf(before) == stateOf(e) {
 				t.Errorf("%+v did not change", e)
@@ -175,7 +175,7 @@
 	}
 	for _, status := range []discovery.Status{discovery.Serving, discovery.Draining, discovery.Deleted} {
 		if kinds[status] == 0 {
-			t.Errorf("nothing became %s", status)
+			t.Errorf("no backend became %s", status)
 		}
 	}
 }
--- a/internal/scale/propagation/watcher.go
+++ b/internal/scale/propagation/watcher.go
@@ -14,11 +14,11 @@
 	"baylock/internal/emulator/registry"
 )
 
-// watcher is one proxy of the fleet, over all its restarts.
+// watcher is one hollow proxy of the fleet. It persists across the proxy's restarts.
 type watcher struct {
 	location     registry.Location
 	zone         int // index of its zone
-	replicaIndex int // among the proxies of its service
+	replicaIndex int // index among the proxies of its service
 	list         string
 	address      string
 	dial         discovery.Dialer
@@ -26,19 +26,19 @@
 	traffic      atomic.Int64 // bytes on its connections to discovery, in both directions
 
 	cancel context.CancelFunc
-	ended  chan struct{} // closed when its run has ended
+	ended  chan struct{} // closed when the proxy has stopped
 
 	// guarded by the tracker's lock
-	joined     bool
-	entries    map[string]discovery.Endpoint // the list as applied by its balancer; nil: none
+	registered bool                          // the tracker has it among its watchers
+	entries    map[string]discovery.Endpoint // the list that its balancer has applied; nil if there is none
 	version    int64
-	pending    []*change
+	pending    []*change // changes that it has not applied yet
 	startedAt  time.Time
-	awaitsList bool
-	timed      bool // its last start is timed
+	awaitsList bool // it has started without a list and has not received one yet
+	startTimed bool // its last start is timed
 }
 
-// apply applies an update that the balancer has applied.
+// apply applies an update that the proxy's balancer has applied to the watcher's copy of the list.
 func (w *watcher) apply(list *discovery.List) {
 	w.version = list.Index
 	if list.Snapshot || w.entries == nil {
@@ -53,8 +53,8 @@
 	}
 }
 
-// known returns the list as the proxy last had it, or nil.
-func (w *watcher) known() *discovery.List {
+// lastList returns the list that the proxy had last, or nil.
+func (w *watcher) lastList() *discovery.List {
 	if w.entries == nil {
 		return nil
 	}
@@ -63,8 +63,8 @@
 	return &discovery.List{Index: w.version, Snapshot: true, Endpoints: endpoints}
 }
 
-// run starts a hollow proxy for the watcher, which has none.
-func (w *watcher) run(ctx context.Context, poll bool, applied func(*discovery.List, time.Time)) error {
+// startProxy starts a hollow proxy with the last list. The watcher must not have a running proxy.
+func (w *watcher) startProxy(ctx context.Context, poll bool, applied func(*discovery.List, time.Time)) error {
 	w.seed++
 	proxy, err := hollow.New(hollow.Config{
 		Name:          w.location.Name,
@@ -72,7 +72,7 @@
 		Zones:         zoneNames(),
 		Seed:          w.seed,
 		Discovery:     discovery.Options{Address: w.address, Dial: w.dial},
-		Known:         w.known(),
+		Known:         w.lastList(),
 		OnListApplied: applied,
 	})
 	if err != nil {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// stop stops the watcher's proxy, if it runs.
+// stop stops the watcher's proxy if it is running, and waits until it has stopped.
 func (w *watcher) stop() {
 	if w.cancel == nil {
 		return
@@ -98,7 +98,7 @@
 	w.cancel = nil
 }
 
-// settings returns the settings of the proxy. Most do not matter, as there are no calls.
+// settings returns the settings of the proxy. Most have no effect, as there are no calls.
 func (w *watcher) settings(poll bool) balancer.Settings {
 	const millisecond, second = 1000, 1_000_000
 	return balancer.Settings{
