--- a/internal/scale/admission/admission_test.go
+++ b/internal/scale/admission/admission_test.go
@@ -13,7 +13,8 @@
 
 func TestMain(m *testing.M) { os.Exit(scaletest.MainInMemory(m)) }
 
-// The figures of faults and of the overload itself are close to their targets, so the limit here is twice the target.
+// The figures of the scenarios with faults and with continuous overload are close to their targets, so that the limit
+// for them is twice the target.
 func TestRunStaysWithinTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		result, err := Experiment.Run(t.Context(), scaletest.EnvInMemory(testSeed))
@@ -26,8 +27,8 @@
 		}
 		for _, f := range result.Figures {
 			t.Logf("%s: %s %.4f", f.Case, f.Quantity, f.Value)
-			near := f.Case == scenarios[1].name || f.Case == scenarios[2].name
-			if !f.MeetsTarget() && !(near && f.Value <= 2**f.Target) {
+			closeToTarget := f.Case == scenarios[1].name || f.Case == scenarios[2].name
+			if !f.MeetsTarget() && !(closeToTarget && f.Value <= 2**f.Target) {
 				t.Errorf("figure %+v misses its target", f)
 			}
 		}
--- a/internal/scale/depth/chain.go
+++ b/internal/scale/depth/chain.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	work    = 2 * time.Millisecond // mean service time of one backend, without the next tier's
-	latency = 200 * time.Microsecond
-	workers = 32 // calls served at once, those included that wait for the next tier
-	queue   = 32
+	meanServiceTime = 2 * time.Millisecond   // of a backend, without the time of the next tier
+	networkLatency  = 200 * time.Microsecond // mean, one way
+	workers         = 32                     // concurrent attempts at a backend, waits for the next tier included
+	queueSize       = 32                     // capacity of a backend's queue, in attempts
 )
 
 var zones = []string{"zone-a", "zone-b"}
 
-// The classes of calls.
+// The indexes of the classes of calls.
 const (
 	idempotentClass = iota
 	keyedClass
@@ -48,7 +48,7 @@
 	}
 }
 
-// settings returns the settings of a proxy. No retry budget is stated, so the balancer's own applies.
+// settings returns the settings of a proxy. They set no retry budget, so that the balancer's default applies.
 func settings(tier, replicas, replicaIndex int) balancer.Settings {
 	return balancer.Settings{
 		Tier:              tier,
@@ -66,12 +66,12 @@
 	}
 }
 
-// chain is a sequence of tiers of backends, with proxies in front of the first tier and one at each backend, except
-// those of the last tier.
+// chain is a sequence of tiers of backends. The front proxies send calls to the first tier. Each backend, except
+// those of the last tier, has its own proxy, which sends calls to the next tier.
 type chain struct {
 	tiers        []*backend.Tier
 	frontProxies []*hollow.Proxy
-	proxies      []*hollow.Proxy // all of them, the front ones included
+	proxies      []*hollow.Proxy // all proxies, including the front proxies
 }
 
 func newChain(s size, seed uint64) (*chain, error) {
@@ -81,10 +81,10 @@
 		tier, err := backend.New(backend.Config{
 			Names:   backendNames(number, s.backends),
 			Classes: classes,
-			Work:    work,
-			Latency: latency,
+			Work:    meanServiceTime,
+			Latency: networkLatency,
 			Workers: workers,
-			Queue:   queue,
+			Queue:   queueSize,
 			Seed:    seeds.Uint64(),
 		})
 		if err != nil {
@@ -115,7 +115,7 @@
 	return c, nil
 }
 
-// newProxies returns the proxies that send to a tier, and know its backends from the start.
+// newProxies returns the proxies that send attempts to a tier. They know the tier's backends from the start.
 func newProxies(index, senders, backends int, tier *backend.Tier, seeds *rand.Rand) ([]*hollow.Proxy, error) {
 	known := tierList(index+1, backends)
 	var proxies []*hollow.Proxy
@@ -136,7 +136,7 @@
 	return proxies, nil
 }
 
-// backendNames returns the names of the backends of a tier; tiers count from 1.
+// backendNames returns the names of the backends of a tier; tiers are numbered from 1.
 func backendNames(tier, backends int) []string {
 	var names []string
 	for i := range backends {
@@ -154,10 +154,10 @@
 	return list
 }
 
-// deepest returns the last tier.
-func (c *chain) deepest() *backend.Tier { return c.tiers[len(c.tiers)-1] }
+// deepestTier returns the last tier.
+func (c *chain) deepestTier() *backend.Tier { return c.tiers[len(c.tiers)-1] }
 
-// run runs all proxies until the context ends, and returns when they have ended.
+// run runs all proxies until the context ends, and returns once all of them have stopped.
 func (c *chain) run(ctx context.Context) {
 	var running sync.WaitGroup
 	for _, p := range c.proxies {
--- a/internal/scale/depth/depth.go
+++ b/internal/scale/depth/depth.go
@@ -1,5 +1,5 @@
-// Package depth measures how many attempts arrive at the deepest of 13 tiers for each call of a user, and how many
-// calls are served, while that tier fails or stalls.
+// Package depth measures the amplification of calls by retries in a chain of 13 tiers: how many attempts arrive at the
+// deepest tier for each user call, and how many user calls are served, while that tier fails or stalls.
 package depth
 
 import (
@@ -11,15 +11,15 @@
 	"baylock/internal/scale"
 )
 
-// Experiment is the experiment.
+// Experiment runs a chain of tiers with each of several faults in its deepest tier.
 var Experiment = scale.Experiment{
 	Name:    "depth",
-	Summary: "attempts at the last of 13 tiers for each user's call, and calls answered, while it fails or stalls",
+	Summary: "attempts at the deepest of 13 tiers per user call, and calls answered in time, while that tier fails or stalls",
 	Run:     run,
 }
 
-// maxAmplification is the target for attempts at the deepest tier for each attempt at the first: a tenth more at each
-// of 12 steps, 1.1^12.
+// maxAmplification is the target for attempts at the deepest tier per attempt at the first tier: 1.1^12, as the retry
+// budget lets each of the 12 steps between tiers add a tenth.
 const maxAmplification = 3.14
 
 var (
@@ -31,22 +31,22 @@
 
 // faultCase is one case of the experiment.
 type faultCase struct {
-	name   string
-	faults backend.Faults
-	total  bool // no call can be served, so the recovery takes longer
+	name         string
+	faults       backend.Faults
+	totalFailure bool // no call can be served, so that the recovery takes longer
 }
 
 var faultCases = []faultCase{
 	{name: "no trouble"},
 	{name: "deepest tier fails 1%", faults: backend.Faults{ErrorRatio: 0.01}},
 	{name: "deepest tier fails 10%", faults: backend.Faults{ErrorRatio: 0.1}},
-	{name: "deepest tier fails 100%", faults: backend.Faults{ErrorRatio: 1}, total: true},
-	{name: "deepest tier stalls", faults: backend.Faults{StallRatio: 1}, total: true},
+	{name: "deepest tier fails 100%", faults: backend.Faults{ErrorRatio: 1}, totalFailure: true},
+	{name: "deepest tier stalls", faults: backend.Faults{StallRatio: 1}, totalFailure: true},
 }
 
-// forCase returns the size for a case.
+// forCase returns the size with the recovery time of a case.
 func (s size) forCase(t faultCase) size {
-	if t.total {
+	if t.totalFailure {
 		s.recovery = s.longRecovery
 	}
 	return s
@@ -68,7 +68,7 @@
 		sum := summarize(sized, r)
 		result.Figures = append(result.Figures, figures(t, sum)...)
 		if !sum.recovered {
-			result.Notes = append(result.Notes, fmt.Sprintf("%s: not recovered within %v.", t.name,
+			result.Notes = append(result.Notes, fmt.Sprintf("%s: the service did not recover within %v.", t.name,
 				sum.recovery))
 		}
 	}
@@ -77,22 +77,22 @@
 
 func notes(s size) []string {
 	return []string{
-		fmt.Sprintf("%d tiers of %d backends, each with a proxy of its own for the next tier, behind %d front proxies; "+
-			"%.0f calls of users a second (Poisson), %.0f%% idempotent (safe), %.0f%% with an idempotency key (keyed), the "+
+		fmt.Sprintf("%d tiers of %d backends, each with its own proxy for the next tier, behind %d front proxies; "+
+			"%.0f user calls per second (Poisson), %.0f%% idempotent (safe), %.0f%% with an idempotency key (keyed), the "+
 			"others not idempotent (unsafe); users do not retry.",
 			s.tiers, s.backends, s.frontProxies, s.rate, 100*idempotentRatio, 100*keyedRatio),
 		fmt.Sprintf("A backend has a mean service time of %v, %d workers and a queue of %d; the mean network latency is %v each "+
-			"way. Calls have a deadline of a second, and the next tier gets the time that remains.",
-			work, workers, queue, latency),
-		fmt.Sprintf("%v without fault, %v with it, %v after it, or %v where no call could be served; the fractions and attempts "+
-			"are those of the time of the fault.", s.settle, s.fault, s.recovery, s.longRecovery),
-		"In real time a short wait lasts up to a millisecond longer, so that a step takes longer than its means.",
-		"Retry budgets are the balancer's own: at each proxy, 5 and a tenth of its calls, over 10 s. The target is 1.1^12, " +
-			"the effect of that tenth alone over 12 steps; a proxy may use the budget of 10 s in one second.",
+			"way. Calls have a deadline of one second; an attempt at the next tier gets the time that remains.",
+			meanServiceTime, workers, queueSize, networkLatency),
+		fmt.Sprintf("The time is %v without fault, %v with the fault, and %v after it, or %v where no call could be served; "+
+			"the fractions and attempts are measured during the fault.", s.settle, s.fault, s.recovery, s.longRecovery),
+		"In real time a short wait lasts up to a millisecond longer, so that a step takes longer than the sum of its mean times.",
+		"Retry budgets are the balancer's defaults: at each proxy, 5 and a tenth of its calls, over 10 s. The target, 1.1^12, " +
+			"is the effect of that tenth alone over 12 steps; a proxy may spend the budget of 10 s in one second.",
 	}
 }
 
-// figures returns the figures of one case.
+// figures returns the figures of a case.
 func figures(t faultCase, s summary) []scale.Figure {
 	var list []scale.Figure
 	add := func(quantity, unit string, value float64, target *float64) {
@@ -100,14 +100,14 @@
 			Source: scale.HollowProxy, Samples: s.calls})
 	}
 	target := scale.Target(maxAmplification)
-	add("attempts at the deepest tier for a call, mean", "attempts", s.perTier[len(s.perTier)-1], target)
+	add("attempts at the deepest tier for a call, mean", "attempts", s.tierAttempts[len(s.tierAttempts)-1], target)
 	add("attempts at the deepest tier for a call, worst second", "attempts", s.worstSecond, target)
 	add("attempts at the deepest tier for one at the first, mean", "attempts", s.amplification, target)
 	add("the same in the second half of the trouble", "attempts", s.lateAmplification, target)
 	for class, name := range classNames {
-		add("attempts at the deepest tier for a "+name+" call", "attempts", s.perClass[class], nil)
+		add("attempts at the deepest tier for a "+name+" call", "attempts", s.classAttempts[class], nil)
 	}
-	for i, attempts := range s.perTier {
+	for i, attempts := range s.tierAttempts {
 		add(fmt.Sprintf("attempts at tier %d for a call", i+1), "attempts", attempts, nil)
 	}
 	add("calls answered in time", "part", s.served, nil)
--- a/internal/scale/depth/depth_test.go
+++ b/internal/scale/depth/depth_test.go
@@ -18,11 +18,11 @@
 
 func TestMain(m *testing.M) { os.Exit(scaletest.MainInMemory(m)) }
 
-// testSize has the full depth, with few backends.
+// testSize has the full number of tiers with few backends.
 var testSize = size{tiers: 13, backends: 2, frontProxies: 2, rate: 60,
 	settle: 2 * time.Second, fault: 3 * time.Second, recovery: 3 * time.Second}
 
-// simulateOnce simulates one chain in a synctest bubble.
+// simulateOnce runs one simulation in a synctest bubble.
 func simulateOnce(t *testing.T, s size, faults backend.Faults) (r *recording) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -56,7 +56,7 @@
 		t.Errorf("%.3f of the calls were served, though the deepest tier fails", sum.served)
 	}
 	if sum.amplification < 1.5 {
-		t.Errorf("%.2f attempts at the deepest tier for one at the first: hardly any retries", sum.amplification)
+		t.Errorf("%.2f attempts at the deepest tier per attempt at the first: there were hardly any retries", sum.amplification)
 	}
 	if again := simulateOnce(t, testSize, faults); !reflect.DeepEqual(r, again) {
 		t.Errorf("two runs with one seed differ:\n%+v\n%+v", sum, summarize(testSize, again))
@@ -79,8 +79,8 @@
 	}
 }
 
-// checkBudgets checks each tier's attempts against the balancer's own retry budget: over 10 s, a proxy makes at most 5
-// further attempts, and one for each ten of its calls.
+// checkBudgets checks each tier's attempts against the balancer's default retry budget: over 10 s, a proxy makes at most
+// 5 retries, plus one for every ten of its calls.
 func checkBudgets(t *testing.T, s size, r *recording) {
 	t.Helper()
 	const (
@@ -94,10 +94,10 @@
 	for i, c := range r.counts {
 		limit := (1+ratio)*calls + minimum*windows*float64(senders)
 		if got := float64(c.Arrivals); got > limit {
-			t.Errorf("tier %d got %v attempts; the budgets allow %v for the %v calls before it", i+1, got, limit, calls)
+			t.Errorf("tier %d received %v attempts; the budgets allow %v for the %v calls of its proxies", i+1, got, limit, calls)
 		}
 		if c.ForbiddenRuns != 0 {
-			t.Errorf("tier %d ran %d calls again though their class forbids it", i+1, c.ForbiddenRuns)
+			t.Errorf("tier %d ran %d calls again although their class forbids it", i+1, c.ForbiddenRuns)
 		}
 		calls, senders = float64(c.Arrivals), s.backends
 	}
@@ -130,9 +130,9 @@
 
 func TestRunEndsWithContext(t *testing.T) { scaletest.CheckEndOfContext(t, Experiment, testSeed) }
 
-// callsEvery returns calls with one outcome.
-func callsEvery(gap, from, to time.Duration, outcome hollow.Outcome) (calls []*userCall) {
-	for at := from; at < to; at += gap {
+// callsAtInterval returns calls that start at a fixed interval and all have the given outcome.
+func callsAtInterval(interval, from, to time.Duration, outcome hollow.Outcome) (calls []*userCall) {
+	for at := from; at < to; at += interval {
 		calls = append(calls, &userCall{start: at, outcome: outcome, inTime: outcome == hollow.Served})
 	}
 	return calls
@@ -142,7 +142,7 @@
 	const end, recorded = 5 * time.Second, 10 * time.Second
 	for _, test := range []struct {
 		name      string
-		failing   time.Duration // time after the fault until calls are served
+		failing   time.Duration // time after the fault until calls are served again
 		recovered bool
 		after     time.Duration
 	}{
@@ -151,8 +151,8 @@
 		{"too late", 4500 * time.Millisecond, false, 5 * time.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			r := &recording{calls: callsEvery(10*time.Millisecond, 0, end+test.failing, hollow.Rejected)}
-			r.calls = append(r.calls, callsEvery(10*time.Millisecond, end+test.failing, recorded, hollow.Served)...)
+			r := &recording{calls: callsAtInterval(10*time.Millisecond, 0, end+test.failing, hollow.Rejected)}
+			r.calls = append(r.calls, callsAtInterval(10*time.Millisecond, end+test.failing, recorded, hollow.Served)...)
 			if recovered, after := r.recovery(end, recorded); recovered != test.recovered || after != test.after {
 				t.Errorf("recovered %v after %v, want %v after %v", recovered, after, test.recovered, test.after)
 			}
@@ -163,9 +163,9 @@
 func TestSummarizeRecording(t *testing.T) {
 	s := size{settle: time.Second, fault: 2 * time.Second, recovery: time.Second}
 	r := &recording{
-		calls: append(callsEvery(100*time.Millisecond, 0, 2*time.Second, hollow.Served),
-			append(callsEvery(100*time.Millisecond, 2*time.Second, 2500*time.Millisecond, hollow.Rejected),
-				callsEvery(100*time.Millisecond, 2500*time.Millisecond, 4*time.Second, hollow.Failed)...)...),
+		calls: append(callsAtInterval(100*time.Millisecond, 0, 2*time.Second, hollow.Served),
+			append(callsAtInterval(100*time.Millisecond, 2*time.Second, 2500*time.Millisecond, hollow.Rejected),
+				callsAtInterval(100*time.Millisecond, 2500*time.Millisecond, 4*time.Second, hollow.Failed)...)...),
 		samples: []sample{
 			{0, 0, []int64{0, 0}, []int64{0, 0, 0}},
 			{1 * time.Second, 10, []int64{10, 10}, []int64{10, 0, 0}},
@@ -175,8 +175,8 @@
 		},
 	}
 	got := summarize(s, r)
-	want := summary{calls: 20, perTier: []float64{1, 2}, worstSecond: 3, amplification: 2, lateAmplification: 1, perClass: []float64{2, 0, 0},
-		served: 0.5, rejected: 0.25, failed: 0.25, recovery: time.Second}
+	want := summary{calls: 20, tierAttempts: []float64{1, 2}, worstSecond: 3, amplification: 2, lateAmplification: 1,
+		classAttempts: []float64{2, 0, 0}, served: 0.5, rejected: 0.25, failed: 0.25, recovery: time.Second}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
--- a/internal/scale/depth/simulation.go
+++ b/internal/scale/depth/simulation.go
@@ -14,17 +14,17 @@
 	"baylock/internal/timing"
 )
 
-// size is the size and load of a chain, and the duration of a simulation's parts in whole seconds.
+// size holds the size and load of a chain, and the durations of the parts of a simulation in whole seconds.
 type size struct {
 	tiers        int
-	backends     int           // of each tier
+	backends     int           // in each tier
 	frontProxies int           // in front of the first tier
-	rate         float64       // calls of users a second, through all front proxies
+	rate         float64       // user calls per second, through all front proxies
 	settle       time.Duration // before the fault
 	fault        time.Duration
 	recovery     time.Duration // after the fault
 
-	longRecovery time.Duration // the same if the fault is total
+	longRecovery time.Duration // replaces recovery in cases with totalFailure
 }
 
 func (s size) end() time.Duration { return s.settle + s.fault + s.recovery }
@@ -45,32 +45,32 @@
 	inTime  bool // served before its deadline
 }
 
-// sample is the state of the counts at one time.
+// sample holds the counts at one time.
 type sample struct {
 	at              time.Duration // since the start of the simulation
-	calls           int           // calls of users so far
-	arrivalsByTier  []int64       // attempts at each tier
-	arrivalsByClass []int64       // attempts at the deepest tier
+	calls           int           // user calls so far
+	arrivalsByTier  []int64       // attempts at each tier so far
+	arrivalsByClass []int64       // attempts at the deepest tier so far
 }
 
-// recording is what is recorded in one simulation.
+// recording holds the user calls and the counts of one simulation.
 type recording struct {
 	calls   []*userCall // in order of their start
 	samples []sample
 	counts  []backend.Counts // of each tier, at the end
 }
 
-// simulation simulates a chain with calls of users.
+// simulation runs a chain with user calls.
 type simulation struct {
 	size
-	chain      *chain
-	random     *rand.Rand
-	start      time.Time
-	recording  recording
-	unanswered sync.WaitGroup // calls without an answer
+	chain        *chain
+	random       *rand.Rand
+	start        time.Time
+	recording    recording
+	pendingCalls sync.WaitGroup // calls that have not been answered
 }
 
-// simulate runs a new chain whose deepest tier has faults for a while, and returns the recording.
+// simulate runs a new chain whose deepest tier has the given faults for a while, and returns the recording.
 func simulate(ctx context.Context, s size, faults backend.Faults, seed uint64) (*recording, error) {
 	c, err := newChain(s, seed)
 	if err != nil {
@@ -80,8 +80,8 @@
 	var proxies sync.WaitGroup
 	proxies.Go(func() { c.run(ctx) })
 	p := &simulation{size: s, chain: c, random: rand.New(rand.NewPCG(seed, 1)), start: time.Now()}
-	err = p.drive(ctx, faults)
-	p.unanswered.Wait()
+	err = p.runSchedule(ctx, faults)
+	p.pendingCalls.Wait()
 	stop()
 	proxies.Wait()
 	if err != nil {
@@ -93,8 +93,8 @@
 	return &p.recording, nil
 }
 
-// drive makes the calls, takes the samples, and begins and ends the faults.
-func (p *simulation) drive(ctx context.Context, faults backend.Faults) error {
+// runSchedule makes the calls, takes the samples, and begins and ends the faults.
+func (p *simulation) runSchedule(ctx context.Context, faults backend.Faults) error {
 	next := p.nextInterval()
 	for tick := time.Duration(0); tick <= p.end(); tick += sampleInterval {
 		for ; next < tick; next += p.nextInterval() {
@@ -114,23 +114,23 @@
 	return nil
 }
 
-// nextInterval draws the time to the next call of a Poisson process.
+// nextInterval returns a random time until the next call. The calls are a Poisson process.
 func (p *simulation) nextInterval() time.Duration {
 	return time.Duration(p.random.ExpFloat64() / p.rate * float64(time.Second))
 }
 
-// waitUntil waits until a time since the start. It returns an error if the context has ended.
+// waitUntil waits until the given time since the start. It returns an error if the context has ended.
 func (p *simulation) waitUntil(ctx context.Context, at time.Duration) error {
 	return timing.Wait(ctx, time.Until(p.start.Add(at)))
 }
 
-// updateFaults begins or ends the faults when it is time to.
+// updateFaults begins or ends the faults if that is due at the given tick.
 func (p *simulation) updateFaults(tick time.Duration, faults backend.Faults) error {
 	switch tick {
 	case p.settle:
-		return p.chain.deepest().SetFaults(faults)
+		return p.chain.deepestTier().SetFaults(faults)
 	case p.settle + p.fault:
-		return p.chain.deepest().SetFaults(backend.Faults{})
+		return p.chain.deepestTier().SetFaults(backend.Faults{})
 	}
 	return nil
 }
@@ -140,25 +140,25 @@
 	for _, t := range p.chain.tiers {
 		counts := t.Counts()
 		s.arrivalsByTier = append(s.arrivalsByTier, counts.Arrivals)
-		s.arrivalsByClass = counts.ArrivalsByClass // those of the deepest tier remain
+		s.arrivalsByClass = counts.ArrivalsByClass // the last assignment is that of the deepest tier
 	}
 	p.recording.samples = append(p.recording.samples, s)
 }
 
 // call makes one call through a random front proxy.
 func (p *simulation) call(ctx context.Context) {
-	u := &userCall{start: time.Since(p.start), class: p.drawClass()}
+	u := &userCall{start: time.Since(p.start), class: p.randomClass()}
 	front := p.chain.frontProxies[p.random.IntN(len(p.chain.frontProxies))]
 	p.recording.calls = append(p.recording.calls, u)
 	deadline := p.start.Add(u.start + classes[u.class].Deadline.Duration())
 	call := hollow.Call{ID: "user/" + strconv.Itoa(len(p.recording.calls)), Class: u.class, Deadline: deadline, Depth: 1}
-	p.unanswered.Go(func() {
+	p.pendingCalls.Go(func() {
 		u.outcome = front.Call(ctx, call).Outcome
 		u.inTime = u.outcome == hollow.Served && !time.Now().After(deadline)
 	})
 }
 
-func (p *simulation) drawClass() int {
+func (p *simulation) randomClass() int {
 	x := p.random.Float64()
 	switch {
 	case x < idempotentRatio:
@@ -169,11 +169,11 @@
 	return nonIdempotentClass
 }
 
-// between returns the calls that started within a time span.
+// between returns the calls that started at from or later, and before to.
 func (r *recording) between(from, to time.Duration) []*userCall {
-	first, _ := slices.BinarySearchFunc(r.calls, from, compareBegun)
-	end, _ := slices.BinarySearchFunc(r.calls, to, compareBegun)
+	first, _ := slices.BinarySearchFunc(r.calls, from, compareStart)
+	end, _ := slices.BinarySearchFunc(r.calls, to, compareStart)
 	return r.calls[first:end]
 }
 
-func compareBegun(u *userCall, at time.Duration) int { return int(u.start - at) }
+func compareStart(u *userCall, at time.Duration) int { return int(u.start - at) }
--- a/internal/scale/depth/summary.go
+++ b/internal/scale/depth/summary.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	recoveredRatio = 0.99                   // of calls served in time, for a recovered service
-	recoveryWindow = time.Second            // of calls that show the recovery
-	recoveryStep   = 100 * time.Millisecond // between the starts of two windows
+	recoveredRatio = 0.99                   // lowest fraction of calls served in time that counts as recovered
+	recoveryWindow = time.Second            // time span over which recoveredRatio is measured
+	recoveryStep   = 100 * time.Millisecond // between the starts of consecutive windows
 )
 
-// summary summarizes a recording for the time of the fault, or for the same time without one.
+// summary summarizes a recording for the time of the fault, or for the same time span if there is no fault.
 type summary struct {
 	calls                    int
-	perTier                  []float64 // attempts at each tier for each call of a user
-	worstSecond              float64   // the same at the deepest tier, in the worst second
-	amplification            float64   // attempts at the deepest tier for each attempt at the first
-	lateAmplification        float64   // the same in the second half of the time
-	perClass                 []float64 // attempts at the deepest tier for each call of a class
-	served, rejected, failed float64   // fractions of the users' calls; a call served too late has failed
+	tierAttempts             []float64 // attempts at each tier per user call
+	worstSecond              float64   // attempts at the deepest tier per user call, in the worst second
+	amplification            float64   // attempts at the deepest tier per attempt at the first tier
+	lateAmplification        float64   // amplification in the second half of the time
+	classAttempts            []float64 // attempts at the deepest tier per user call, by class
+	served, rejected, failed float64   // fractions of the user calls; a call served too late counts as failed
 
 	recovered bool          // within the recorded time
-	recovery  time.Duration // from the end of the fault; the recorded time if not recovered
+	recovery  time.Duration // from the end of the fault; up to the end of the recording if not recovered
 
 	forbiddenRuns   int64 // at all tiers, in the whole simulation
 	queueRejections int64 // at all tiers, in the whole simulation
-	inFlightPeak    int   // at the tier where it was highest
+	inFlightPeak    int   // of the tier with the highest peak
 }
 
 func summarize(s size, r *recording) summary {
@@ -64,7 +64,7 @@
 	first, last := r.sampleAt(from), r.sampleAt(to)
 	calls := float64(max(1, last.calls-first.calls))
 	for tier := range last.arrivalsByTier {
-		s.perTier = append(s.perTier, float64(last.arrivalsByTier[tier]-first.arrivalsByTier[tier])/calls)
+		s.tierAttempts = append(s.tierAttempts, float64(last.arrivalsByTier[tier]-first.arrivalsByTier[tier])/calls)
 	}
 	byClass := make([]int, len(classes))
 	for _, u := range r.calls[first.calls:last.calls] {
@@ -72,21 +72,21 @@
 	}
 	for class, n := range byClass {
 		attempts := last.arrivalsByClass[class] - first.arrivalsByClass[class]
-		s.perClass = append(s.perClass, float64(attempts)/float64(max(1, n)))
+		s.classAttempts = append(s.classAttempts, float64(attempts)/float64(max(1, n)))
 	}
 	s.worstSecond = r.worstSecond(from, to)
 	s.amplification = amplification(first, last)
 	s.lateAmplification = amplification(r.sampleAt(from+(to-from)/2), last)
 }
 
-// amplification is the number of attempts at the deepest tier for each at the first, between two samples.
+// amplification returns the attempts at the deepest tier per attempt at the first tier, between two samples.
 func amplification(first, last sample) float64 {
 	deepest := len(last.arrivalsByTier) - 1
 	sent := last.arrivalsByTier[0] - first.arrivalsByTier[0]
 	return float64(last.arrivalsByTier[deepest]-first.arrivalsByTier[deepest]) / float64(max(1, sent))
 }
 
-// sampleAt returns the first sample at or after a time.
+// sampleAt returns the first sample at or after a time, or the last sample if there is none.
 func (r *recording) sampleAt(at time.Duration) sample {
 	for _, s := range r.samples {
 		if s.at >= at {
@@ -96,7 +96,7 @@
 	return r.samples[len(r.samples)-1]
 }
 
-// worstSecond is the highest number of attempts at the deepest tier for each call of a user, between two samples.
+// worstSecond returns the highest ratio of attempts at the deepest tier to user calls between consecutive samples.
 func (r *recording) worstSecond(from, to time.Duration) (worst float64) {
 	for i, s := range r.samples[1:] {
 		before := r.samples[i]
@@ -110,10 +110,10 @@
 	return worst
 }
 
-// recovery returns when, after the end of the fault, a window begins in which recoveredRatio of the calls are served
-// in time.
-func (r *recording) recovery(end, watched time.Duration) (recovered bool, after time.Duration) {
-	for from := end; from+recoveryWindow <= watched; from += recoveryStep {
+// recovery returns how long after the end of the fault the first window begins in which at least recoveredRatio of
+// the calls are served in time.
+func (r *recording) recovery(faultEnd, recordingEnd time.Duration) (recovered bool, after time.Duration) {
+	for from := faultEnd; from+recoveryWindow <= recordingEnd; from += recoveryStep {
 		calls := r.between(from, from+recoveryWindow)
 		inTime := 0
 		for _, u := range calls {
@@ -122,8 +122,8 @@
 			}
 		}
 		if len(calls) > 0 && float64(inTime) >= recoveredRatio*float64(len(calls)) {
-			return true, from - end
+			return true, from - faultEnd
 		}
 	}
-	return false, watched - end
+	return false, recordingEnd - faultEnd
 }
