--- a/internal/proxy/body_test.go
+++ b/internal/proxy/body_test.go
@@ -19,17 +19,18 @@
 	"baylock/internal/upstream"
 )
 
-// encodeChunked encodes a body in chunks of a size, with a trailer.
-func encodeChunked(body string, piece int) string {
+// encodeChunked encodes a body in chunks of at most chunkSize bytes, each with an extension, and adds a trailer.
+func encodeChunked(body string, chunkSize int) string {
 	var b strings.Builder
-	for ; len(body) > 0; body = body[min(piece, len(body)):] {
-		p := body[:min(piece, len(body))]
-		fmt.Fprintf(&b, "%x;x=y\r\n%s\r\n", len(p), p)
+	for ; len(body) > 0; body = body[min(chunkSize, len(body)):] {
+		chunk := body[:min(chunkSize, len(body))]
+		fmt.Fprintf(&b, "%x;x=y\r\n%s\r\n", len(chunk), chunk)
 	}
 	return b.String() + "0\r\nX-Sum: 1\r\n\r\n"
 }
 
-// echo responds with the body of the request, or with as many bytes as the query names, in the framing that it names.
+// echo responds with the body of the request. The query may override this: n sets another number of bytes, and chunked makes
+// the response chunked.
 func echo(w io.Writer, r *http.Request, body []byte) {
 	if n := r.URL.Query().Get("n"); n != "" {
 		var size int
@@ -43,7 +44,8 @@
 	_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// startBufferingBackend starts a backend that responds when it has received all of a request's body.
+// startBufferingBackend starts a backend that reads a request's whole body before reply responds to it. Its Requests counts
+// the requests that have arrived completely.
 func startBufferingBackend(t *testing.T, reply func(w io.Writer, r *http.Request, body []byte)) *backendtest.Backend {
 	t.Helper()
 	var backend atomic.Pointer[backendtest.Backend]
@@ -62,36 +64,37 @@
 	return b
 }
 
-// Long bodies are forwarded unchanged both ways, in every framing and however they are cut, on a connection that is kept.
+// Bodies of all lengths are forwarded unchanged in both directions, whichever framing the request and the response use. The
+// client's connection stays open.
 func TestProxyForwardsBodiesUnchanged(t *testing.T) {
 	b := startBufferingBackend(t, echo)
 	p := startProxyWithBackend(t, b)
 	c := connect(t, p)
 	n := 0
 	for _, size := range []int{0, 1, 5, 4096, message.MaxBuffered - 1, message.MaxBuffered, message.MaxBuffered + 1, 300_000, 3_000_000} {
-		for _, in := range []string{"length", "chunks"} {
-			for _, out := range []string{"", "?chunked=1"} {
+		for _, framing := range []string{"length", "chunks"} {
+			for _, query := range []string{"", "?chunked=1"} {
 				n++
 				body := distinctText(size)
-				head := strings.Replace(postHead(fmt.Sprint("r", n), "Content-Length: "+fmt.Sprint(size)), "/k ", "/k"+out+" ", 1)
+				head := strings.Replace(postHead(fmt.Sprint("r", n), "Content-Length: "+fmt.Sprint(size)), "/k ", "/k"+query+" ", 1)
 				sent := body
-				if in == "chunks" {
+				if framing == "chunks" {
 					head = strings.Replace(head, "Content-Length: "+fmt.Sprint(size), "Transfer-Encoding: chunked\r\nTrailer: X-Sum", 1)
 					sent = encodeChunked(body, 7000)
 				}
 				go func() { _, _ = io.WriteString(c, head+sent) }()
 				resp, got := c.readResponse(t)
 				if resp.StatusCode != 200 || got != body || resp.Close {
-					t.Fatalf("%d bytes in %s, answer %q: got %s with %d bytes, close %v", size, in, out, resp.Status, len(got), resp.Close)
+					t.Fatalf("%d bytes, request framing %s, response query %q: got %s with %d bytes, close %v", size, framing, query, resp.Status, len(got), resp.Close)
 				}
-				time.Sleep(upstream.ReuseDelay) // idle connections may be used again
+				time.Sleep(upstream.ReuseDelay) // after this delay an idle connection may be reused
 			}
 		}
 	}
 	backendtest.WaitUntil(t, func() bool { return p.limits.budget.InUse() == 0 })
 }
 
-// A body of MaxBody is forwarded, a longer one is rejected.
+// A body of MaxBody bytes is forwarded, a longer one is rejected.
 func TestProxyForwardsBodiesUpToMaxBody(t *testing.T) {
 	b := startBufferingBackend(t, func(w io.Writer, r *http.Request, body []byte) {
 		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", message.MaxBody)
@@ -112,7 +115,7 @@
 	if n, err := io.Copy(sum, resp.Body); n != message.MaxBody || err != nil || [32]byte(sum.Sum(nil)) != sha256.Sum256(body) {
 		t.Errorf("got %d bytes, %v", n, err)
 	}
-	c = connect(t, p) // the length shows only when it has come
+	c = connect(t, p) // the length of a chunked body is known only once it has arrived
 	go func() {
 		_, _ = io.WriteString(c, postHead("2", "Transfer-Encoding: chunked"))
 		for range message.MaxBody/len(body[:1<<20]) + 1 {
@@ -122,15 +125,15 @@
 		}
 	}()
 	if resp, _ := c.readResponse(t); resp.StatusCode != 413 || !resp.Close {
-		t.Errorf("a longer one: got %s", resp.Status)
+		t.Errorf("a longer body: got %s", resp.Status)
 	}
 	if n := b.Requests.Load(); n != 1 {
 		t.Errorf("%d requests arrived completely", n)
 	}
 }
 
-// Head, body and response arrive slowly, cut anywhere. The timeout of a request starts with its last byte, so one that takes
-// longer to arrive than that is served.
+// The request's head and body and the response arrive slowly, in small pieces. The timeout of a request starts when its last
+// byte arrives, so a request that takes longer than its timeout to arrive is still served.
 func TestProxyForwardsSlowBodies(t *testing.T) {
 	b := startBufferingBackend(t, func(w io.Writer, r *http.Request, body []byte) {
 		for _, piece := range []string{"HTT", "P/1.1 200 OK\r\nContent-Le", fmt.Sprintf("ngth: %d\r", len(body)), "\n\r", "\n"} {
@@ -153,13 +156,13 @@
 				_, _ = io.WriteString(c, head[:min(len(head), 7)])
 				time.Sleep(10 * time.Millisecond)
 			}
-			step := size/25 + 1
-			for rest := body; len(rest) > 0; rest = rest[min(len(rest), step):] {
-				_, _ = io.WriteString(c, rest[:min(len(rest), step)])
-				time.Sleep(40 * time.Millisecond) // 1 s in all
+			pieceSize := size/25 + 1
+			for rest := body; len(rest) > 0; rest = rest[min(len(rest), pieceSize):] {
+				_, _ = io.WriteString(c, rest[:min(len(rest), pieceSize)])
+				time.Sleep(40 * time.Millisecond) // 1 s in total
 			}
 			if resp, got := c.readResponse(t); resp.StatusCode != 200 || got != body {
-				t.Errorf("%d bytes: got %s with %d", size, resp.Status, len(got))
+				t.Errorf("%d bytes: got %s with %d bytes", size, resp.Status, len(got))
 			}
 		})
 	}
@@ -183,7 +186,7 @@
 	}
 }
 
-// A buffered request can be sent to another backend. A streamed one can not, and its client learns that at once.
+// A buffered request is retried on another backend. A streamed request can't be, so its client gets the rejection at once.
 func TestOnlyBufferedRequestsAreRetried(t *testing.T) {
 	for name, c := range map[string]struct{ size, wantStatus int }{
 		"buffered": {40_000, http.StatusOK},
@@ -191,13 +194,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var rejected atomic.Int32
-			a := backendtest.StartRaw(t, func(w io.Writer, _ *http.Request) bool { // before it has the complete request
+			rejecting := backendtest.StartRaw(t, func(w io.Writer, _ *http.Request) bool { // responds without reading the body
 				rejected.Add(1)
 				_, _ = io.WriteString(w, "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 				return false
 			})
-			b := startBufferingBackend(t, echo)
-			p := startProxy(t, startDiscovery(t).addr, 400, servingList(a, b))
+			buffering := startBufferingBackend(t, echo)
+			p := startProxy(t, startDiscovery(t).addr, 400, servingList(rejecting, buffering))
 			body := distinctText(c.size)
 			for i := 0; rejected.Load() == 0 && i < 200; i++ {
 				client := connect(t, p)
@@ -215,13 +218,14 @@
 				}
 			}
 			if rejected.Load() == 0 {
-				t.Error("no request was sent to the backend that rejects")
+				t.Error("no request was sent to the rejecting backend")
 			}
 		})
 	}
 }
 
-// The time that a client takes to write a body says nothing of the backends: the timeout starts with its last byte.
+// The time that a client takes to send a body says nothing about the backend. The timeout of a streamed request therefore
+// starts only with the last byte.
 func TestStreamedRequestTimeoutStartsAfterUpload(t *testing.T) {
 	p := startProxyWithBackend(t, startBufferingBackend(t, echo))
 	c := connect(t, p)
@@ -235,7 +239,7 @@
 		return r != nil
 	})
 	if !r.Streaming {
-		t.Error("it is not streamed")
+		t.Error("the request is not streamed")
 	}
 	time.Sleep(300 * time.Millisecond)
 	go func() { _, _ = io.WriteString(c, distinctText(100_000)[70_000:]) }()
@@ -244,12 +248,12 @@
 	}
 	p.onLoop(func() { deadline <- r.Deadline })
 	if left := time.Until(p.loop.clock.Time(backendtest.Receive(t, "answer of the loop", deadline))); left < 3700*time.Millisecond {
-		t.Errorf("%v were left of 4 s", left)
+		t.Errorf("%v left of the timeout of 4 s", left)
 	}
 }
 
-// A client that is rejected while it still writes gets its response at once, and what it writes is read to the end: a close
-// would reset the connection, and lose the response.
+// A client that is rejected while it is still sending gets its response at once, and the proxy reads the rest of the
+// request. Closing the connection with unread bytes would reset it, and the client might never read the response.
 func TestRejectedClientMayFinishWriting(t *testing.T) {
 	b := backendtest.StartRaw(t, func(w io.Writer, r *http.Request) bool {
 		_, _ = io.WriteString(w, "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
@@ -270,14 +274,14 @@
 		}
 	}
 	if _, err := io.ReadAll(c.r); err != nil {
-		t.Errorf("the end of the connection: %v", err)
+		t.Errorf("reading to the end of the connection: %v", err)
 	}
 	waitUntilIdle(t, p)
 }
 
-// A backend closes its connection in the middle of a long response. The client can tell, nobody else gets the request, and
-// nothing is added.
-func TestIncompleteResponseLooksIncomplete(t *testing.T) {
+// If a backend closes its connection in the middle of a long response, the client can detect that the response is truncated.
+// The proxy neither completes the response nor retries the request.
+func TestTruncatedResponseIsNotCompletedOrRetried(t *testing.T) {
 	for name, head := range map[string]string{"length": "Content-Length: 300000\r\n\r\n", "chunks": "Transfer-Encoding: chunked\r\n\r\n493e0\r\n"} {
 		t.Run(name, func(t *testing.T) {
 			b := startBufferingBackend(t, func(w io.Writer, _ *http.Request, _ []byte) {
--- a/internal/proxy/connections_test.go
+++ b/internal/proxy/connections_test.go
@@ -15,7 +15,7 @@
 	"baylock/internal/discovery"
 )
 
-// startWithFewConnections starts a proxy with a low limit of client connections, which it returns.
+// startWithFewConnections starts a proxy with a low limit on client connections. It also returns this limit.
 func startWithFewConnections(t *testing.T, reply backendtest.Responder) (p *runningProxy, maxConnections int) {
 	t.Helper()
 	b := backendtest.Start(t, reply)
@@ -23,7 +23,7 @@
 	return p, p.clients.Stats().Max
 }
 
-// Idle connections and unused ones are evicted, so that they shut no client with a request out.
+// Idle and unused connections are evicted to admit new connections, so that no client with a request is turned away.
 func TestProxyEvictsConnectionsWithoutRequests(t *testing.T) {
 	p, maxConnections := startWithFewConnections(t, backendtest.Respond(backendtest.OK, true))
 	for i := range maxConnections {
@@ -37,15 +37,15 @@
 		c := connect(t, p)
 		c.send(t, lookRequest(fmt.Sprint("n", i), 4000))
 		if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
-			t.Fatalf("newcomer %d: got %s", i, resp.Status)
+			t.Fatalf("new client %d: got %s", i, resp.Status)
 		}
 		if n := p.clients.Stats().Open; n > maxConnections {
-			t.Fatalf("%d connections of at most %d", n, maxConnections)
+			t.Fatalf("%d connections are open, the limit is %d", n, maxConnections)
 		}
 	}
 }
 
-// A connection with an open request is never evicted.
+// A connection with an open request is never evicted. If all connections have one, a new connection is closed.
 func TestProxyKeepsConnectionsWithOpenRequests(t *testing.T) {
 	release := make(chan struct{})
 	p, maxConnections := startWithFewConnections(t, func(w io.Writer, _ *http.Request, _ int) bool {
@@ -63,8 +63,8 @@
 		stats := p.clients.Stats()
 		return stats.Open == maxConnections && stats.Unused == 0
 	})
-	over := connect(t, p)
-	if _, err := over.r.ReadByte(); err == nil {
+	extra := connect(t, p)
+	if _, err := extra.r.ReadByte(); err == nil {
 		t.Error("a connection over the limit got a response")
 	}
 	close(release)
@@ -75,25 +75,25 @@
 	}
 }
 
-// Idle clients hold all their descriptors, and more connect, while discovery is down: requests, health checks and the console
-// are served, and the list that discovery has at its return is applied.
-func TestProxyServesAmongIdleClientsWhileDiscoveryIsDown(t *testing.T) {
+// While discovery is down, idle clients use up all client connections, and more clients connect. The proxy still serves
+// requests, health checks and console calls, and it applies the endpoint list that discovery sends once it is back.
+func TestProxyServesDespiteIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	a, b := startOKBackend(t), startOKBackend(t)
 	var up atomic.Bool
-	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	discoveryServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !up.Load() {
 			panic(http.ErrAbortHandler)
 		}
 		_, _ = io.WriteString(w, listJSON(2, true, listEntry("a", a.Address, discovery.Draining), listEntry("b", b.Address, discovery.Serving)))
 		time.Sleep(10 * time.Millisecond)
 	}))
-	defer d.Close()
-	p := startWithConsole(t, t.TempDir(), "127.0.0.1:0", strings.TrimPrefix(d.URL, "http://"),
+	defer discoveryServer.Close()
+	p := startWithConsole(t, t.TempDir(), "127.0.0.1:0", strings.TrimPrefix(discoveryServer.URL, "http://"),
 		listEntry("a", a.Address, discovery.Serving), listEntry("b", b.Address, discovery.Serving))
 	maxConnections := p.clients.Stats().Max
 	for i := range 2 * maxConnections {
 		switch c := connect(t, p); i % 3 {
-		case 0: // silent
+		case 0: // sends nothing
 		case 1:
 			c.send(t, "GET /lo")
 		case 2:
@@ -104,26 +104,27 @@
 	for _, r := range []struct {
 		what string
 		got  int
-	}{{"health check", p.health(t)}, {"console", callConsole(t, p, "GET /_ready", "")}} {
+	}{{"health check", p.healthStatus(t)}, {"console", callConsole(t, p, "GET /_ready", "")}} {
 		if r.got != http.StatusOK {
 			t.Errorf("%s: got %d", r.what, r.got)
 		}
 	}
-	if ok := p.serveLookups(t, 20); ok != 20 {
+	if ok := p.sendLookups(t, 20); ok != 20 {
 		t.Errorf("%d of 20 served", ok)
 	}
 	up.Store(true)
 	backendtest.WaitUntil(t, func() bool { _, ok := p.loop.pool.Find("a"); return !ok })
 	before := a.Requests.Load()
-	if ok := p.serveLookups(t, 20); ok != 20 || a.Requests.Load() != before {
-		t.Errorf("after discovery's return %d of 20 served, %d by a backend that drains", ok, a.Requests.Load()-before)
+	if ok := p.sendLookups(t, 20); ok != 20 || a.Requests.Load() != before {
+		t.Errorf("after discovery came back: %d of 20 served, %d requests to the draining backend", ok, a.Requests.Load()-before)
 	}
 	if n := p.clients.Stats().Open; n > maxConnections {
-		t.Errorf("%d connections of at most %d", n, maxConnections)
+		t.Errorf("%d connections are open, the limit is %d", n, maxConnections)
 	}
 }
 
-// A process that begins to share its descriptors with another closes what idle clients hold over its half.
+// When another process of the proxy starts, each process gets half of the file descriptors. The first process then closes
+// the idle connections that exceed its new limit.
 func TestHalvedLimitsCloseIdleConnections(t *testing.T) {
 	p, maxConnections := startWithFewConnections(t, backendtest.Respond(backendtest.OK, true))
 	for range maxConnections {
@@ -133,12 +134,12 @@
 	}
 	p.limits.setAlone(false)
 	if n, maxConnections := p.clients.Stats().Open, p.clients.Stats().Max; n > maxConnections {
-		t.Errorf("%d connections of at most %d", n, maxConnections)
+		t.Errorf("%d connections are open, the limit is %d", n, maxConnections)
 	}
 }
 
-// The first byte of the next request may be read while the response before it is being written. Then nothing is left to read
-// on the connection, and nothing has arrived since it fell idle.
+// The first byte of the next request may be read while the previous response is still being written. When the connection
+// then becomes idle, it has no unread bytes and none have arrived since, but closing it would still lose the request.
 func TestCloseIdleKeepsConnectionWithOneByteOfRequest(t *testing.T) {
 	release := make(chan struct{})
 	p, b := startProxyAndBackend(t, respondAfter(release))
@@ -160,9 +161,9 @@
 	}
 }
 
-// A request has been read, but not reported by net/http, on a connection that is closed as idle: its client sends it again
-// elsewhere, so it may not run from here.
-func TestRequestCrossingIdleCloseIsNotForwarded(t *testing.T) {
+// A connection may be closed as idle after a request has been read from it, but before net/http has reported the request.
+// The client sends the request again on another connection, so this proxy must not forward it.
+func TestRequestRacingIdleCloseIsNotForwarded(t *testing.T) {
 	b := startOKBackend(t)
 	read, proceed := make(chan struct{}), make(chan struct{})
 	p := startAdjustedProxy(t, func(p *Proxy) {
@@ -178,7 +179,7 @@
 	}
 	close(proceed)
 	if _, err := c.r.ReadByte(); err == nil {
-		t.Error("a response on a closed connection")
+		t.Error("got a response on a closed connection")
 	}
 	checkBegunRequests(t, p, b, 0)
 }
--- a/internal/proxy/console_test.go
+++ b/internal/proxy/console_test.go
@@ -15,24 +15,24 @@
 	"baylock/internal/downstream"
 )
 
-// startWithConsole starts a proxy with a console, in a folder that it may share with others; listen is the clients'
-// address.
-func startWithConsole(t *testing.T, dir, listen, watched string, entries ...string) *runningProxy {
+// startWithConsole starts a proxy with a console. dir is the folder of the operator state, which several processes of the
+// proxy may share. listen is the address for clients, and entries is the cached endpoint list.
+func startWithConsole(t *testing.T, dir, listen, discoveryAddress string, entries ...string) *runningProxy {
 	t.Helper()
-	cfg := testConfig(t, siteText, watched, 400, listJSON(1, true, entries...))
+	cfg := testConfig(t, siteText, discoveryAddress, 400, listJSON(1, true, entries...))
 	cfg.Name, cfg.Listen, cfg.Console, cfg.TempDir = "n0", listen, "127.0.0.1:0", dir
 	return start(t, cfg)
 }
 
-// startWithOperators starts a proxy with a console and two backends.
-func startWithOperators(t *testing.T) (p *runningProxy, a, b *backendtest.Backend) {
+// startWithConsoleAndBackends starts a proxy with a console and two backends, which it calls a and b.
+func startWithConsoleAndBackends(t *testing.T) (p *runningProxy, a, b *backendtest.Backend) {
 	t.Helper()
 	a, b = startOKBackend(t), startOKBackend(t)
 	return startWithConsole(t, t.TempDir(), "127.0.0.1:0", startDiscovery(t).addr,
 		listEntry("a", a.Address, discovery.Serving), listEntry("b", b.Address, discovery.Serving)), a, b
 }
 
-// dial opens a connection to an address; it ends with the test.
+// dial opens a connection to an address. The connection is closed when the test ends.
 func dial(t *testing.T, addr string) *testClient {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -44,19 +44,20 @@
 	return newClient(c)
 }
 
-// callConsole makes a console call and returns the answer's status.
+// callConsole makes a console call and returns the status of the response. line is the method and path.
 func callConsole(t *testing.T, p *runningProxy, line, body string) int {
 	t.Helper()
 	c := dial(t, p.ConsoleAddr())
 	c.send(t, fmt.Sprintf("%s HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", line, len(body), body))
 	resp, _ := c.readResponse(t)
 	if _, err := c.r.ReadByte(); err != io.EOF {
-		t.Errorf("%s: the connection stays: %v", line, err)
+		t.Errorf("%s: the connection stays open: %v", line, err)
 	}
 	return resp.StatusCode
 }
 
-func (p *runningProxy) health(t *testing.T) int {
+// healthStatus makes a health check and returns the status of the response.
+func (p *runningProxy) healthStatus(t *testing.T) int {
 	t.Helper()
 	c := connect(t, p)
 	c.send(t, "GET /_health HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
@@ -64,9 +65,9 @@
 	return resp.StatusCode
 }
 
-// serveLookups sends n requests on one connection and returns how many were served. One that is rejected, as may happen on a
-// busy machine, is sent again.
-func (p *runningProxy) serveLookups(t *testing.T, n int) (ok int) {
+// sendLookups sends n requests one after another and returns how many were served. A request that is rejected, which may
+// happen on a busy machine, is sent again.
+func (p *runningProxy) sendLookups(t *testing.T, n int) (ok int) {
 	t.Helper()
 	c := connect(t, p)
 	for end := time.Now().Add(backendtest.Timeout); n > 0; {
@@ -87,9 +88,9 @@
 	return ok
 }
 
-// Invalid calls are answered with an error and change nothing; valid ones may be repeated.
-func TestConsoleAnswersCallsWithTheirStatus(t *testing.T) {
-	p, _, _ := startWithOperators(t)
+// Invalid calls get an error status and change nothing. Valid calls may be repeated.
+func TestConsoleAcceptsOnlyValidCalls(t *testing.T) {
+	p, _, _ := startWithConsoleAndBackends(t)
 	for _, c := range []struct {
 		line, body string
 		want       int
@@ -107,7 +108,7 @@
 		{"POST /_backends/detach", "\x00\xff", 404},
 		{"POST /_backends/detach", strings.Repeat("a", admin.MaxBodyBytes+1), 413},
 		{"POST /_backends/attach", "nobody", 404},
-		{"POST /_backends/attach", "a", 200}, // it is not detached
+		{"POST /_backends/attach", "a", 200}, // a is not detached
 		{"POST /_backends/detach", "a", 200},
 		{"POST /_backends/detach", "a\n", 200},
 		{"POST /_backends/attach", "a", 200},
@@ -127,13 +128,13 @@
 	if err != nil || resp.StatusCode != 405 {
 		t.Errorf("HEAD /_ready: got %v, %v", resp, err)
 	}
-	if got := p.health(t); got != 200 {
-		t.Errorf("health is %d", got)
+	if got := p.healthStatus(t); got != 200 {
+		t.Errorf("health check: got %d", got)
 	}
 	if state := p.operatorState.Current(); len(state.Detached) != 0 || state.LameDuck {
-		t.Errorf("operator state %+v", state)
+		t.Errorf("the operator state is %+v", state)
 	}
-	for _, text := range []string{"what is this\r\n\r\n", "GET /_ready HTTP/1.1\r\n\r\n", // no Host
+	for _, text := range []string{"what is this\r\n\r\n", "GET /_ready HTTP/1.1\r\n\r\n", // no Host header
 		"POST /_backends/detach HTTP/1.1\r\nHost: h\r\nContent-Length: 99\r\n\r\na"} {
 		c := dial(t, p.ConsoleAddr())
 		c.send(t, text)
@@ -143,14 +144,15 @@
 	}
 }
 
-// Connections without a complete call delay no other caller beyond its second, and their number is bounded.
+// Calls are answered within a second despite connections on which no complete call arrives, and the number of connections is
+// limited.
 func TestConsoleAnswersInTimeDespiteSilentConnections(t *testing.T) {
-	p, _, _ := startWithOperators(t)
+	p, _, _ := startWithConsoleAndBackends(t)
 	for i := range 4 * admin.MaxConnections {
 		c := dial(t, p.ConsoleAddr())
 		switch i % 3 {
 		case 1:
-			_, _ = io.WriteString(c, "GET /_rea") // it may have been closed to make room
+			_, _ = io.WriteString(c, "GET /_rea") // fails if the connection has been evicted already
 		case 2:
 			_, _ = io.WriteString(c, "POST /_backends/detach HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\n")
 		}
@@ -164,63 +166,64 @@
 			t.Errorf("answered after %v", took)
 		}
 		if n := p.console.OpenConnections(); n > admin.MaxConnections {
-			t.Errorf("%d connections", n)
+			t.Errorf("%d connections are open", n)
 		}
 	}
 }
 
-// The answer to a call is a success only once the loop has carried it out, and an error when that takes too long.
+// A call succeeds only once the loop has applied it, and fails if that takes longer than admin.OperationTimeout.
 func TestConsoleCallFailsWhileLoopIsBlocked(t *testing.T) {
-	p, _, _ := startWithOperators(t)
+	p, _, _ := startWithConsoleAndBackends(t)
 	release := make(chan struct{})
 	p.onLoop(func() { <-release })
 	start := time.Now()
 	if got := callConsole(t, p, "POST /_backends/detach", "a"); got != 503 {
-		t.Errorf("with the loop held: got %d", got)
+		t.Errorf("with the loop blocked: got %d", got)
 	}
 	if took := time.Since(start); took < admin.OperationTimeout {
-		t.Errorf("after %v", took)
+		t.Errorf("answered after only %v", took)
 	}
 	close(release)
 	if got := callConsole(t, p, "POST /_backends/detach", "a"); got != 200 {
-		t.Errorf("then: got %d", got)
+		t.Errorf("with the loop running again: got %d", got)
 	}
 }
 
-// Once a detach is answered the backend gets no request, whatever discovery lists; one attach reverts two detaches.
+// Once a detach call has been answered, the backend gets no more requests, whatever discovery lists. One attach call reverts
+// two detach calls.
 func TestDetachedBackendGetsNoRequests(t *testing.T) {
 	a, b := startOKBackend(t), startOKBackend(t)
 	d := startDiscovery(t)
 	both := []string{listEntry("a", a.Address, discovery.Serving), listEntry("b", b.Address, discovery.Serving)}
 	p := startWithConsole(t, t.TempDir(), "127.0.0.1:0", d.addr, both...)
-	p.serveLookups(t, 40)
+	p.sendLookups(t, 40)
 	if a.Requests.Load() == 0 {
-		t.Fatal("it was not in use")
+		t.Fatal("the backend got no requests before it was detached")
 	}
 	for range 2 {
 		if got := callConsole(t, p, "POST /_backends/detach", "a"); got != 200 {
-			t.Fatalf("detach: %d", got)
+			t.Fatalf("detach: got %d", got)
 		}
 	}
-	came := a.Requests.Load()
+	before := a.Requests.Load()
 	for i, text := range []string{listJSON(5, true, both...),
 		listJSON(6, false, listEntry("a", a.Address, discovery.Deleted)), listJSON(7, false, both[0])} {
 		d.answers <- text
 		backendtest.WaitUntil(t, func() bool {
 			return strings.HasPrefix(backendtest.Receive(t, "call", d.calls), fmt.Sprintf("from=%d&", 5+i))
 		})
-		if ok := p.serveLookups(t, 40); ok != 40 || a.Requests.Load() != came {
-			t.Errorf("%s: %d served, %d requests to it", text, ok, a.Requests.Load()-came)
+		if ok := p.sendLookups(t, 40); ok != 40 || a.Requests.Load() != before {
+			t.Errorf("%s: %d of 40 served, %d requests to the detached backend", text, ok, a.Requests.Load()-before)
 		}
 	}
 	if got := callConsole(t, p, "POST /_backends/attach", "a"); got != 200 {
-		t.Fatalf("attach: %d", got)
+		t.Fatalf("attach: got %d", got)
 	}
-	backendtest.WaitUntil(t, func() bool { p.serveLookups(t, 10); return a.Requests.Load() > came })
+	backendtest.WaitUntil(t, func() bool { p.sendLookups(t, 10); return a.Requests.Load() > before })
 }
 
-// In lame duck health checks fail at once, and client connections are closed after a while. Turning it off restores
-// service at any time, without a restart.
+// In lame duck mode health checks fail at once, and client connections are closed after downstream.LameDuckDelay. Turning it
+// off restores the service at any time, without a restart.
 func TestLameDuckClosesConnectionsUntilTurnedOff(t *testing.T) {
 	release := make(chan struct{})
 	b := backendtest.Start(t, respondAfter(release))
@@ -230,29 +233,29 @@
 	idle.readResponse(t)
 	held.send(t, lookRequest("h", 8000))
 	backendtest.WaitUntil(t, func() bool { return b.Requests.Load() == 2 })
-	for range 3 { // on, and off in the middle
+	for range 3 { // each time it is turned off before connections are closed
 		if got := callConsole(t, p, "POST /_lameduck/on", ""); got != 200 {
-			t.Fatalf("on: %d", got)
+			t.Fatalf("turning lame duck on: got %d", got)
 		}
-		if got := p.health(t); got != 503 {
-			t.Errorf("health is %d", got)
+		if got := p.healthStatus(t); got != 503 {
+			t.Errorf("health check: got %d", got)
 		}
 		if got := callConsole(t, p, "GET /_ready", ""); got != 200 {
-			t.Errorf("ready is %d", got)
+			t.Errorf("readiness: got %d", got)
 		}
-		if ok := p.serveLookups(t, 1); ok != 1 {
+		if ok := p.sendLookups(t, 1); ok != 1 {
 			t.Error("a new connection is not served")
 		}
 		if got := callConsole(t, p, "POST /_lameduck/off", ""); got != 200 {
-			t.Fatalf("off: %d", got)
+			t.Fatalf("turning lame duck off: got %d", got)
 		}
-		if got := p.health(t); got != 200 {
-			t.Errorf("health is %d", got)
+		if got := p.healthStatus(t); got != 200 {
+			t.Errorf("health check: got %d", got)
 		}
 	}
 	idle.send(t, lookRequest("2", 8000))
 	if resp, _ := idle.readResponse(t); resp.StatusCode != 200 || resp.Close {
-		t.Fatalf("after off: got %s, close %v", resp.Status, resp.Close)
+		t.Fatalf("after lame duck: got %s, close %v", resp.Status, resp.Close)
 	}
 	callConsole(t, p, "POST /_lameduck/on", "")
 	if _, err := idle.r.ReadByte(); err != io.EOF {
@@ -264,19 +267,19 @@
 	}
 	backendtest.WaitUntil(t, func() bool { return p.clients.Stats().Open == 0 })
 	callConsole(t, p, "POST /_lameduck/off", "")
-	if ok := p.serveLookups(t, 3); ok != 3 || p.health(t) != 200 {
-		t.Errorf("after off: %d of 3 served", ok)
+	if ok := p.sendLookups(t, 3); ok != 3 || p.healthStatus(t) != 200 {
+		t.Errorf("after lame duck: %d of 3 served", ok)
 	}
-	callConsole(t, p, "POST /_lameduck/on", "") // SIGTERM in lame duck
+	callConsole(t, p, "POST /_lameduck/on", "") // SIGTERM may arrive in lame duck mode
 	p.stop()
 	if err := backendtest.Receive(t, "end of Run", p.done); err != nil {
 		t.Error(err)
 	}
 }
 
-// A connection on which part of a head has arrived is not idle: closing it would reset the request.
+// A connection on which part of a request's head has arrived is not idle. Closing it would lose the request.
 func TestLameDuckKeepsConnectionWithPartialHead(t *testing.T) {
-	p, _, _ := startWithOperators(t)
+	p, _, _ := startWithConsoleAndBackends(t)
 	kept, fresh := connect(t, p), connect(t, p)
 	kept.send(t, lookRequest("0", 4000))
 	kept.readResponse(t)
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -13,10 +13,10 @@
 	"baylock/internal/socket"
 )
 
-// disconnect is a way in which a client disconnects.
+// disconnect is a way in which a client may disconnect.
 type disconnect struct {
-	request func(id string) string // that it has sent by then
-	leave   func(t *testing.T, c *testClient)
+	request func(id string) string // returns what the client sends before
+	perform func(t *testing.T, c *testClient)
 }
 
 var disconnects = map[string]disconnect{
@@ -48,7 +48,7 @@
 	c.Close()
 }
 
-// waitForConnectedClients waits until only n clients have not disconnected.
+// waitForConnectedClients waits until only n clients are still connected.
 func waitForConnectedClients(t *testing.T, p *Proxy, n int) {
 	t.Helper()
 	backendtest.WaitUntil(t, func() bool {
@@ -62,14 +62,14 @@
 	})
 }
 
-// Nothing is sent for a client that has gone while its request waited, wherever that was. net/http does not notice one that
-// goes behind bytes which nobody reads.
-func TestNothingIsSentForGoneClient(t *testing.T) {
+// A request is not sent to a backend if its client disconnects first, whatever the request was waiting for. net/http does
+// not detect a disconnect while the connection holds unread bytes.
+func TestRequestOfDisconnectedClientIsNotSent(t *testing.T) {
 	for phase, test := range map[string]func(*testing.T, disconnect){
-		"before the read":         testGoneBeforeRead,
-		"during a slow dial":      testGoneDuringDial,
-		"between attempts":        testGoneBetweenAttempts,
-		"in the balancer's queue": testGoneInQueue,
+		"before the read":         testDisconnectBeforeRead,
+		"during a slow dial":      testDisconnectDuringDial,
+		"between attempts":        testDisconnectBetweenAttempts,
+		"in the balancer's queue": testDisconnectInQueue,
 	} {
 		for how, d := range disconnects {
 			t.Run(phase+", "+how, func(t *testing.T) {
@@ -80,23 +80,23 @@
 	}
 }
 
-// disconnectDuringDial sends a request and disconnects once its attempt has begun to dial.
+// disconnectDuringDial sends a request and disconnects once its attempt is dialing.
 func disconnectDuringDial(t *testing.T, p *runningProxy, d disconnect, dialing <-chan struct{}) {
 	t.Helper()
 	c := connect(t, p)
 	c.send(t, d.request("1"))
 	backendtest.Receive(t, "dial", dialing)
-	d.leave(t, c)
+	d.perform(t, c)
 	waitForConnectedClients(t, p.Proxy, 0)
 }
 
-func testGoneBeforeRead(t *testing.T, d disconnect) {
+func testDisconnectBeforeRead(t *testing.T, d disconnect) {
 	t.Helper()
 	b := startOKBackend(t)
-	gone, accepted := make(chan struct{}), make(chan struct{})
+	disconnected, accepted := make(chan struct{}), make(chan struct{})
 	p := startAdjustedProxy(t, func(p *Proxy) {
 		p.clients.Listener = gatedListener{Listener: p.clients.Listener, gate: func(c net.Conn) net.Conn {
-			<-gone
+			<-disconnected
 			for !socket.PeerClosed(c) {
 				time.Sleep(time.Millisecond)
 			}
@@ -106,13 +106,13 @@
 	}, servingList(b))
 	c := connect(t, p)
 	c.send(t, d.request("1"))
-	d.leave(t, c)
-	close(gone)
+	d.perform(t, c)
+	close(disconnected)
 	backendtest.Receive(t, "accept", accepted)
 	checkBegunRequests(t, p, b, 0)
 }
 
-func testGoneDuringDial(t *testing.T, d disconnect) {
+func testDisconnectDuringDial(t *testing.T, d disconnect) {
 	t.Helper()
 	b := startOKBackend(t)
 	dialing, proceed := make(chan struct{}), make(chan struct{})
@@ -130,7 +130,7 @@
 	checkBegunRequests(t, p, b, 0)
 }
 
-func testGoneBetweenAttempts(t *testing.T, d disconnect) {
+func testDisconnectBetweenAttempts(t *testing.T, d disconnect) {
 	t.Helper()
 	b := startOKBackend(t)
 	dialing, proceed := make(chan struct{}), make(chan struct{})
@@ -152,7 +152,7 @@
 	checkBegunRequests(t, p, b, 0)
 }
 
-func testGoneInQueue(t *testing.T, d disconnect) {
+func testDisconnectInQueue(t *testing.T, d disconnect) {
 	t.Helper()
 	release := make(chan struct{})
 	b := backendtest.Start(t, respondAfter(release))
@@ -164,11 +164,11 @@
 	c := connect(t, p)
 	c.send(t, d.request("1"))
 	backendtest.WaitUntil(t, func() bool { return p.hasRequest("1") })
-	d.leave(t, c)
+	d.perform(t, c)
 	waitForConnectedClients(t, p.Proxy, 1)
 	close(release)
 	if resp, _ := first.readResponse(t); resp.StatusCode != 200 {
-		t.Errorf("the first: got %s", resp.Status)
+		t.Errorf("first request: got %s", resp.Status)
 	}
 	first.Close()
 	checkBegunRequests(t, p, b, 1)
@@ -176,19 +176,19 @@
 
 func TestDisconnectCancelsAttempt(t *testing.T) {
 	arrived := make(chan struct{}, 1)
-	gone := make(chan struct{}, 1)
+	canceled := make(chan struct{}, 1)
 	p, _ := startProxyAndBackend(t, func(w io.Writer, _ *http.Request, _ int) bool {
 		arrived <- struct{}{}
 		_, _ = w.(net.Conn).Read(make([]byte, 1))
-		gone <- struct{}{}
+		canceled <- struct{}{}
 		return false
 	})
 	c := connect(t, p)
 	c.send(t, lookRequest("1", 8000))
 	backendtest.Receive(t, "request", arrived)
 	c.Close()
-	backendtest.Receive(t, "end of the attempt", gone)
-	backendtest.WaitUntil(t, func() bool { // nothing is left of it
+	backendtest.Receive(t, "end of the attempt", canceled)
+	backendtest.WaitUntil(t, func() bool { // the loop has removed the request
 		remaining := make(chan int, 1)
 		p.onLoop(func() { remaining <- len(p.loop.requests) })
 		return backendtest.Receive(t, "answer of the loop", remaining) == 0
@@ -207,19 +207,19 @@
 	}
 }
 
-// A client that disconnects while it writes or reads a long body leaves nothing behind, and the backend's connection is
-// closed. One that only pauses gets an error.
-func TestDisconnectDuringLongBodyLeavesNothing(t *testing.T) {
-	stop := make(chan struct{})
+// If a client disconnects while it sends or reads a long body, everything that its request used is released, and the
+// connection to the backend is closed. A client that stops sending without disconnecting gets an error.
+func TestDisconnectDuringLongBodyReleasesResources(t *testing.T) {
+	release := make(chan struct{})
 	b := backendtest.StartRaw(t, func(w io.Writer, r *http.Request) bool {
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return false
 		}
 		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 1<<20, distinctText(100_000))
-		<-stop
+		<-release
 		return false
 	})
-	defer close(stop)
+	defer close(release)
 	p := startProxyWithBackend(t, b)
 	for i := range 3 {
 		c := connect(t, p)
@@ -232,7 +232,7 @@
 	c := connect(t, p)
 	c.send(t, postHead("stops", "Content-Length: 300000")+distinctText(100_000))
 	if resp, _ := c.readResponse(t); resp.StatusCode != 400 || !resp.Close {
-		t.Errorf("a client that pauses: got %s", resp.Status)
+		t.Errorf("a client that stopped sending: got %s", resp.Status)
 	}
 	backendtest.Receive(t, "end of the backend's connection", b.Closed)
 	waitUntilIdle(t, p)
--- a/internal/proxy/memory_test.go
+++ b/internal/proxy/memory_test.go
@@ -14,10 +14,10 @@
 	"baylock/internal/backendtest"
 )
 
-// Many long bodies at once, together far over the limit, are read slowly: memory in use stays small, and buffered bodies
-// stay within the budget.
+// Many clients send long bodies and read long responses slowly at the same time. Together the bodies far exceed the memory
+// limit, but little memory is in use, and buffered bodies stay within the budget.
 func TestProxyBoundsMemoryOfManyLongBodies(t *testing.T) {
-	const size, many = 4 << 20, 60
+	const size, clientCount = 4 << 20, 60
 	body := bytes.Repeat([]byte("0123456789abcdef"), size/16)
 	b := backendtest.StartRaw(t, func(w io.Writer, r *http.Request) bool {
 		_, err := io.Copy(io.Discard, r.Body)
@@ -33,7 +33,7 @@
 	runtime.ReadMemStats(&before)
 	var clients sync.WaitGroup
 	var served atomic.Int32
-	for i := range many {
+	for i := range clientCount {
 		c := connect(t, p)
 		clients.Go(func() {
 			if c.exchangeSlowly(t, fmt.Sprint("r", i), body) {
@@ -44,30 +44,30 @@
 	done := make(chan struct{})
 	go func() { clients.Wait(); close(done) }()
 	var maxInUse uint64
-	for end := false; !end; {
+	for finished := false; !finished; {
 		select {
 		case <-done:
-			end = true
+			finished = true
 		case <-time.After(20 * time.Millisecond):
 			runtime.ReadMemStats(&now)
 			maxInUse = max(maxInUse, now.HeapInuse)
 			if n := p.limits.budget.InUse(); n > p.limits.budget.Limit() {
-				t.Fatalf("%d bytes are reserved of at most %d", n, p.limits.budget.Limit())
+				t.Fatalf("%d bytes are reserved, the budget is %d", n, p.limits.budget.Limit())
 			}
 		}
 	}
-	if n := served.Load(); n < many/3 {
-		t.Errorf("%d of %d were served", n, many)
+	if n := served.Load(); n < clientCount/3 {
+		t.Errorf("%d of %d requests were served", n, clientCount)
 	}
-	// This includes the buffers of the clients.
-	if grown := int64(maxInUse) - int64(before.HeapInuse); grown > (32<<20)+many*(256<<10) {
+	// The limit allows for the clients' buffers, which are part of the heap as well.
+	if grown := int64(maxInUse) - int64(before.HeapInuse); grown > (32<<20)+clientCount*(256<<10) {
 		t.Errorf("%d MB more memory in use", grown>>20)
 	}
 	backendtest.WaitUntil(t, func() bool { return p.limits.budget.InUse() == 0 })
 }
 
-// exchangeSlowly sends a body and reads a response of the same length slowly. It reports whether the request was served,
-// and not rejected, as may happen on a busy machine.
+// exchangeSlowly sends a body and slowly reads a response of the same length. It reports whether the request was served. The
+// proxy may reject it on a busy machine, which is not an error.
 func (c *testClient) exchangeSlowly(t *testing.T, id string, body []byte) (served bool) {
 	t.Helper()
 	go func() {
@@ -102,20 +102,20 @@
 	return true
 }
 
-// Without budget a body is streamed at once rather than buffered.
+// If the budget is exhausted, even a short body is streamed rather than buffered.
 func TestProxyStreamsBodyWhenBudgetIsExhausted(t *testing.T) {
 	p := startProxyWithBackend(t, startBufferingBackend(t, echo))
-	all := p.limits.budget.Reserve()
-	if !all.Grow(p.limits.budget.Limit()) {
-		t.Fatal("the budget is exhausted already")
+	wholeBudget := p.limits.budget.Reserve()
+	if !wholeBudget.Grow(p.limits.budget.Limit()) {
+		t.Fatal("the budget is in use already")
 	}
 	c := connect(t, p)
 	c.send(t, postHead("1", "Content-Length: 30000")+distinctText(30000))
 	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != distinctText(30000) {
 		t.Errorf("got %s with %d bytes", resp.Status, len(body))
 	}
-	all.Release()
-	if all.Grow(1) || p.limits.budget.InUse() != 0 {
-		t.Error("a reservation grows after its release")
+	wholeBudget.Release()
+	if wholeBudget.Grow(1) || p.limits.budget.InUse() != 0 {
+		t.Error("a released reservation can grow or is still in use")
 	}
 }
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -17,12 +17,13 @@
 	"baylock/internal/upstream"
 )
 
-// changedConfig is the configuration of a running proxy with pairs of texts of the test settings replaced.
+// changedConfig returns the configuration of a running proxy with another version and changed test settings, in which the
+// first text of each pair in replace is replaced by the second.
 func changedConfig(t *testing.T, p *runningProxy, version string, replace ...string) config.Config {
 	t.Helper()
 	for i := 0; i < len(replace); i += 2 {
 		if !strings.Contains(siteText, replace[i]) {
-			t.Fatalf("the settings lack %s", replace[i])
+			t.Fatalf("the test settings do not contain %s", replace[i])
 		}
 	}
 	site, err := settings.Decode([]byte(strings.NewReplacer(replace...).Replace(siteText)))
@@ -49,7 +50,7 @@
 
 func scanRequest(id string) string { return strings.ReplaceAll(lookRequest(id, 4000), "look", "scan") }
 
-// status sends a request on a connection of its own and returns the answer's status.
+// status sends a request on a new connection and returns the status of the response.
 func (p *runningProxy) status(t *testing.T, text string) int {
 	t.Helper()
 	c := connect(t, p)
@@ -60,51 +61,52 @@
 }
 
 func TestReloadAppliesSettings(t *testing.T) {
-	left := make(chan int, 10)
+	timeouts := make(chan int, 10)
 	p, _ := startProxyAndBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
 		ms, _ := strconv.Atoi(r.Header.Get("Request-Timeout-Ms"))
-		left <- ms
+		timeouts <- ms
 		_, _ = io.WriteString(w, backendtest.OK)
 		return true
 	})
-	long := strings.Replace(shortPost("p"), "Timeout-Ms: 4000", "Timeout-Ms: 60000", 1)
+	longTimeoutPost := strings.Replace(shortPost("p"), "Timeout-Ms: 4000", "Timeout-Ms: 60000", 1)
 	if got := p.status(t, scanRequest("1")); got != 400 {
-		t.Errorf("an unknown class: %d", got)
+		t.Errorf("before the reload, unknown class: got %d", got)
 	}
-	if got := p.status(t, long); got != 200 {
-		t.Errorf("before: %d", got)
+	if got := p.status(t, longTimeoutPost); got != 200 {
+		t.Errorf("before the reload, long timeout: got %d", got)
 	}
-	if ms := backendtest.Receive(t, "request", left); ms > 4000 {
-		t.Errorf("a backend was given %d ms before", ms)
+	if ms := backendtest.Receive(t, "request", timeouts); ms > 4000 {
+		t.Errorf("before the reload, the backend got a timeout of %d ms", ms)
 	}
 
 	p.mustReload(t, changedConfig(t, p, "", lookProfile, scanProfile,
 		postProfile, strings.NewReplacer("8000000", "50000000", "4000000", "40000000").Replace(postProfile),
 		`"dial_timeout_us":5000000`, `"dial_timeout_us":70000`, `"idle_close_us":30000000`, `"idle_close_us":4000000`))
 	if got := p.status(t, scanRequest("2")); got != 200 {
-		t.Errorf("a new class: %d", got)
+		t.Errorf("after the reload, added class: got %d", got)
 	}
-	backendtest.Receive(t, "request", left)
+	backendtest.Receive(t, "request", timeouts)
 	if got := p.status(t, lookRequest("3", 4000)); got != 400 {
-		t.Errorf("a removed class: %d", got)
+		t.Errorf("after the reload, removed class: got %d", got)
 	}
-	if got := p.status(t, long); got != 200 {
-		t.Errorf("after: %d", got)
+	if got := p.status(t, longTimeoutPost); got != 200 {
+		t.Errorf("after the reload, long timeout: got %d", got)
 	}
-	if ms := backendtest.Receive(t, "request", left); ms < 20_000 || ms > 40_000 {
-		t.Errorf("a backend was given %d ms after", ms)
+	if ms := backendtest.Receive(t, "request", timeouts); ms < 20_000 || ms > 40_000 {
+		t.Errorf("after the reload, the backend got a timeout of %d ms", ms)
 	}
 	pool := p.loop.pool.Stats()
 	if pool.DialTimeout != 70*time.Millisecond || pool.IdleTimeout != 3*time.Second || pool.ReuseLimit > pool.IdleTimeout {
-		t.Errorf("dials for %v, idle for %v, used again for %v", pool.DialTimeout, pool.IdleTimeout, pool.ReuseLimit)
+		t.Errorf("dial timeout %v, idle timeout %v, reuse limit %v", pool.DialTimeout, pool.IdleTimeout, pool.ReuseLimit)
 	}
 }
 
-// Settings change back and forth under load: every request is served, and no connection is closed on either side.
+// Reloads switch between two configurations under load. Every request is served, and no connection to a client or a backend
+// is closed.
 func TestReloadUnderLoadLosesNoRequest(t *testing.T) {
-	const clients, reloads = 3, 60 // more at once than a class's count has learned to bear would be refused
+	const clients, reloads = 3, 60 // requests of more clients could exceed the class's learned limit on calls in flight and be rejected
 	b := startOKBackend(t)
-	// Each request may need a connection of its own, as one rests after its use.
+	// Each request may need a new connection, since one that was just used is not reused before upstream.ReuseDelay.
 	p := startProxy(t, startDiscovery(t).addr, 4000, servingList(b))
 	configs := []config.Config{
 		changedConfig(t, p, "b", lookProfile, scanProfile+lookProfile, `"siblings":1`, `"siblings":3`,
@@ -112,14 +114,14 @@
 			`"failure_domains":["a"]`, `"failure_domains":["b","a"]`, `"my_zone":0`, `"my_zone":1`),
 		changedConfig(t, p, "a"),
 	}
-	answers, over := make(chan int), make(chan struct{})
+	statuses, stop := make(chan int), make(chan struct{})
 	var all sync.WaitGroup
 	for i := range clients {
 		c := connect(t, p)
 		all.Go(func() {
 			for n := 0; ; n++ {
 				id := fmt.Sprintf("%d-%d", i, n)
-				c.send(t, shortPost(id)) // a safe one that hangs for a moment would be given up, and sent on another connection
+				c.send(t, shortPost(id)) // an idempotent request could time out on a busy machine, and its retry would use another connection
 				resp, err := http.ReadResponse(c.r, nil)
 				if err != nil {
 					t.Error(err)
@@ -129,8 +131,8 @@
 					t.Errorf("%s: %v, close %v", id, err, resp.Close)
 				}
 				select {
-				case answers <- resp.StatusCode:
-				case <-over:
+				case statuses <- resp.StatusCode:
+				case <-stop:
 					return
 				}
 			}
@@ -139,33 +141,33 @@
 	for i := range reloads {
 		p.mustReload(t, configs[i%2])
 		for range clients {
-			if got := backendtest.Receive(t, "answer", answers); got != 200 {
+			if got := backendtest.Receive(t, "answer", statuses); got != 200 {
 				t.Errorf("reload %d: got %d", i, got)
 			}
 		}
 	}
-	close(over)
+	close(stop)
 	all.Wait()
 	if n := p.clients.Stats().Open; n != clients {
 		t.Errorf("%d connections of %d clients", n, clients)
 	}
 	if n := len(b.Closed); n > 0 {
-		t.Errorf("%d connections to the backend have ended", n)
+		t.Errorf("%d connections to the backend were closed", n)
 	}
 	n := b.Connections.Load()
-	time.Sleep(upstream.ReuseDelay) // idle connections may be used again
+	time.Sleep(upstream.ReuseDelay) // after this delay an idle connection may be reused
 	p.mustReload(t, configs[0])
 	if got := p.status(t, shortPost("last")); got != 200 || b.Connections.Load() != n {
-		t.Errorf("got %d on one of %d connections, of %d before the reload", got, b.Connections.Load(), n)
+		t.Errorf("got %d; %d connections to the backend so far, %d before the reload", got, b.Connections.Load(), n)
 	}
 }
 
-// A configuration that is invalid anywhere leaves all of the old one in force.
+// A reload with a configuration that is invalid in any part leaves the whole old configuration in force.
 func TestRejectedReloadChangesNothing(t *testing.T) {
-	p, _, _ := startWithOperators(t)
+	p, _, _ := startWithConsoleAndBackends(t)
 	p.mustReload(t, changedConfig(t, p, "first"))
 	before, maxConnections := p.loop.settings.Load(), p.maxClientConnections()
-	for want, spoil := range map[string]func(*config.Config){
+	for want, invalidate := range map[string]func(*config.Config){
 		"name":              func(c *config.Config) { c.Name = "other" },
 		"listen":            func(c *config.Config) { c.Listen = "127.0.0.1:1" },
 		"console":           func(c *config.Config) { c.Console = "" },
@@ -182,30 +184,30 @@
 		t.Run(want, func(t *testing.T) {
 			cfg := changedConfig(t, p, "bad", lookProfile, scanProfile+lookProfile)
 			cfg.Limits.Sockets = 800
-			spoil(&cfg)
+			invalidate(&cfg)
 			if err := p.Reload(cfg); err == nil || !strings.Contains(err.Error(), want) {
 				t.Errorf("got %v", err)
 			}
 			if p.loop.settings.Load() != before || p.maxClientConnections() != maxConnections {
-				t.Error("it was applied in part")
+				t.Error("the rejected configuration was applied in part")
 			}
 		})
 	}
 	if got := p.status(t, scanRequest("1")); got != 400 {
-		t.Errorf("a class of rejected settings: %d", got)
+		t.Errorf("class of the rejected settings: got %d", got)
 	}
 	if got := p.status(t, lookRequest("2", 4000)); got != 200 {
-		t.Errorf("a class of the old settings: %d", got)
+		t.Errorf("class of the settings in force: got %d", got)
 	}
 }
 
-// Whether a request may be retried was decided when it arrived.
+// The settings under which a request arrived decide whether it may be retried.
 func TestReloadKeepsIdempotencyOfOpenRequests(t *testing.T) {
 	for name, c := range map[string]struct {
-		request     string
-		old, reload string
-		want        int
-		sends       int32
+		request          string
+		old, replacement string
+		want             int
+		wantAttempts     int32
 	}{
 		"not idempotent": {shortPost("1"), postProfile,
 			strings.Replace(postProfile, `"at_most_once"`, `"deduplicated","dedup_scope":"all","dedup_window_us":8000000`, 1), 502, 1},
@@ -214,34 +216,35 @@
 			`"objective_us":1000000,"late_share":0.5,"repeat":"deduplicated","worth":1},`, "", 200, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			came, release := make(chan struct{}, 1), make(chan struct{})
+			arrived, release := make(chan struct{}, 1), make(chan struct{})
 			p, b := startProxyAndBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
 				if n == 1 {
-					came <- struct{}{}
+					arrived <- struct{}{}
 					<-release
-					return false // the connection ends without an answer
+					return false // closes the connection without a response
 				}
 				_, _ = io.WriteString(w, backendtest.OK)
 				return true
 			})
 			cl := connect(t, p)
 			cl.send(t, c.request)
-			backendtest.Receive(t, "request at the backend", came)
-			p.mustReload(t, changedConfig(t, p, "", c.old, c.reload))
+			backendtest.Receive(t, "request at the backend", arrived)
+			p.mustReload(t, changedConfig(t, p, "", c.old, c.replacement))
 			close(release)
-			if resp, _ := cl.readResponse(t); resp.StatusCode != c.want || b.Requests.Load() != c.sends {
-				t.Errorf("got %s after %d sends", resp.Status, b.Requests.Load())
+			if resp, _ := cl.readResponse(t); resp.StatusCode != c.want || b.Requests.Load() != c.wantAttempts {
+				t.Errorf("got %s after %d attempts", resp.Status, b.Requests.Load())
 			}
 		})
 	}
 }
 
-// A request that was read under the old settings, and reaches the loop after the new ones, is taken under the numbers that
-// its class and tenant have now, or rejected unsent where its class is gone or has another idempotency.
-func TestReloadRenumbersRequestsInTransit(t *testing.T) {
+// A request may be parsed under the old settings and reach the loop after a reload. The loop then updates the indices of its
+// class and tenant to the new settings, or rejects it without sending it if its class no longer exists or has a different
+// idempotency.
+func TestReloadRevalidatesQueuedRequests(t *testing.T) {
 	for name, c := range map[string]struct {
-		old, reload string
-		want        int
+		old, replacement string
+		want             int
 	}{
 		"class moved":          {lookProfile, scanProfile + lookProfile, 200},
 		"tenant moved":         {`"tenants":[`, `"tenants":[{"name":"other","portion":0,"quota_per_s":0},`, 200},
@@ -252,12 +255,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, b := startProxyAndBackend(t, backendtest.Respond(backendtest.OK, true))
-			ids := make(chan balancer.Request, 1)
+			accepted := make(chan balancer.Request, 1)
 			release := make(chan struct{})
 			p.onLoop(func() { <-release })
-			backendtest.WaitUntil(t, func() bool { return len(p.loop.events) == 0 }) // the loop is held
+			backendtest.WaitUntil(t, func() bool { return len(p.loop.events) == 0 }) // the loop is blocked
 			reloaded := make(chan error, 1)
-			cfg := changedConfig(t, p, "", c.old, c.reload)
+			cfg := changedConfig(t, p, "", c.old, c.replacement)
 			go func() { reloaded <- p.Reload(cfg) }()
 			backendtest.WaitUntil(t, func() bool { return len(p.loop.events) == 1 })
 			cl := connect(t, p)
@@ -265,9 +268,9 @@
 			backendtest.WaitUntil(t, func() bool { return len(p.loop.events) == 2 })
 			p.onLoop(func() {
 				for _, r := range p.loop.requests {
-					ids <- r.Request.Request
+					accepted <- r.Request.Request
 				}
-				close(ids)
+				close(accepted)
 			})
 			close(release)
 			if err := backendtest.Receive(t, "end of the reload", reloaded); err != nil {
@@ -275,10 +278,10 @@
 			}
 			resp, _ := cl.readResponse(t)
 			if sent := b.Requests.Load(); resp.StatusCode != c.want || (sent > 0) != (c.want == 200) {
-				t.Errorf("got %s after %d sends", resp.Status, sent)
+				t.Errorf("got %s after %d attempts", resp.Status, sent)
 			}
 			site := p.loop.settings.Load().Site
-			if r, ok := <-ids; ok && site.Classes[r.Class] != "look" {
+			if r, ok := <-accepted; ok && site.Classes[r.Class] != "look" {
 				t.Errorf("accepted as class %q", site.Classes[r.Class])
 			} else if ok && r.Tenant != config.NoTenant && site.Tenants[r.Tenant] != "acme" {
 				t.Errorf("accepted as tenant %q", site.Tenants[r.Tenant])
@@ -287,10 +290,10 @@
 	}
 }
 
-// Operators see which settings are in force, in one line.
+// The response to a readiness call is one line that names the settings in force.
 func TestReadyReportsSettingsInForce(t *testing.T) {
-	p, _, _ := startWithOperators(t)
-	ask := func() string {
+	p, _, _ := startWithConsoleAndBackends(t)
+	readiness := func() string {
 		t.Helper()
 		c := dial(t, p.ConsoleAddr())
 		c.send(t, "GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -302,21 +305,21 @@
 	}
 	p.mustReload(t, changedConfig(t, p, "0123456789ab"))
 	at := p.loop.settings.Load().TakenAt.UTC().Format("2006-01-02T15:04:05.000Z")
-	if got := ask(); got != "ok settings=0123456789ab taken="+at+"\n" {
+	if got := readiness(); got != "ok settings=0123456789ab taken="+at+"\n" {
 		t.Errorf("got %q", got)
 	}
 	p.mustReload(t, changedConfig(t, p, "ba9876543210"))
 	bad := changedConfig(t, p, "bad")
 	bad.Discovery = ""
 	if err := p.Reload(bad); err == nil {
-		t.Error("no discovery is no error")
+		t.Error("a configuration without an address of discovery was accepted")
 	}
-	if got := ask(); !strings.Contains(got, " settings=ba9876543210 ") {
+	if got := readiness(); !strings.Contains(got, " settings=ba9876543210 ") {
 		t.Errorf("got %q", got)
 	}
 }
 
-// Requests that arrived under longer deadlines keep them at SIGTERM, also after two reloads.
+// Requests that arrived under settings with longer deadlines keep these deadlines at SIGTERM, also after two reloads.
 func TestSnapshotKeepsLongestDeadlineOfOpenRequests(t *testing.T) {
 	p, _ := startProxyAndBackend(t, backendtest.Respond(backendtest.OK, true))
 	const before, after = 8 * time.Second, 90 * time.Millisecond
@@ -325,33 +328,33 @@
 	p.mustReload(t, changedConfig(t, p, "", short...))
 	second := p.loop.settings.Load().TakenAt
 	p.mustReload(t, changedConfig(t, p, "again", short...))
-	in := p.loop.settings.Load()
+	current := p.loop.settings.Load()
 	for _, c := range []struct {
 		at   time.Time
 		want time.Duration
 	}{
-		{in.TakenAt, before},
-		{second.Add(before - time.Nanosecond), before}, // the second reload makes it no later
+		{current.TakenAt, before},
+		{second.Add(before - time.Nanosecond), before}, // the second reload doesn't extend this time
 		{second.Add(before), after},
 	} {
-		if got := in.LongestDeadline(c.at); got != c.want {
-			t.Errorf("%v after the start: %v, want %v", c.at.Sub(first), got, c.want)
+		if got := current.LongestDeadline(c.at); got != c.want {
+			t.Errorf("%v after the start: got %v, want %v", c.at.Sub(first), got, c.want)
 		}
 	}
 }
 
-// Descriptors and memory are divided again at once.
+// A reload applies new limits on file descriptors and memory at once.
 func TestReloadAppliesLimits(t *testing.T) {
 	p, _ := startProxyAndBackend(t, backendtest.Respond(backendtest.OK, true))
 	cfg := changedConfig(t, p, "")
 	cfg.Limits.Sockets, cfg.Limits.MemoryMB = 500, 100
 	p.mustReload(t, cfg)
-	forClients, forBackends := cfg.Limits.Connections()
+	clients, backends := cfg.Limits.Connections()
 	pool := p.loop.pool.Stats()
-	if p.maxClientConnections() != forClients || pool.MaxOpen != forBackends || p.limits.budget.Limit() != 100<<20/8 {
-		t.Errorf("%d for clients, %d for backends, %d bytes for bodies", p.maxClientConnections(), pool.MaxOpen, p.limits.budget.Limit())
+	if p.maxClientConnections() != clients || pool.MaxOpen != backends || p.limits.budget.Limit() != 100<<20/8 {
+		t.Errorf("%d client connections, %d backend connections, %d bytes for buffered bodies", p.maxClientConnections(), pool.MaxOpen, p.limits.budget.Limit())
 	}
-	t.Cleanup(func() { // the runtime's limit holds for all tests
+	t.Cleanup(func() { // the Go runtime's memory limit would also apply to later tests
 		cfg.Limits.MemoryMB = 0
 		p.mustReload(t, cfg)
 	})
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -16,8 +16,8 @@
 	"baylock/internal/microtime"
 )
 
-// Other proxies may shut down at the same time. After SIGTERM clients are served on the connections they have, and on new
-// ones; at the end each response closes its connection.
+// Other proxies may shut down at the same time, so after SIGTERM requests are still served, on open connections and on new
+// ones. Towards the end of the shutdown each connection is closed after its response.
 func TestShutdownUnderLoadLosesNoRequest(t *testing.T) {
 	release := make(chan struct{})
 	p, b := startProxyAndBackend(t, respondAfter(release))
@@ -47,7 +47,7 @@
 	for _, c := range held {
 		all.Go(func() {
 			if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
-				t.Errorf("held: got %s, close %v", resp.Status, resp.Close)
+				t.Errorf("request open at SIGTERM: got %s, close %v", resp.Status, resp.Close)
 			}
 		})
 	}
@@ -60,9 +60,9 @@
 	}
 }
 
-// After SIGTERM clients get no new connections. Slow requests must not take all that they have: some stay free, on which
-// further requests are rejected at once with Retry-After, and which can be used again.
-func TestShutdownKeepsConnectionsFree(t *testing.T) {
+// After SIGTERM clients may be unable to open new connections. Slow requests must not occupy all the open ones:
+// some are kept free. Further requests on them are rejected at once with Retry-After, and they can be used again later.
+func TestShutdownKeepsSomeConnectionsFree(t *testing.T) {
 	release := make(chan struct{})
 	p, b := startProxyAndBackend(t, respondAfter(release))
 	var all []*testClient
@@ -82,13 +82,13 @@
 		all[5].send(t, lookRequest(fmt.Sprint("h", 5+i), 8000))
 		resp, _ := all[5].readResponse(t)
 		if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || resp.Close {
-			t.Fatalf("with 5 of 8 connections held: got %s %v, close %v", resp.Status, resp.Header, resp.Close)
+			t.Fatalf("with 5 of 8 connections in use: got %s %v, close %v", resp.Status, resp.Header, resp.Close)
 		}
 	}
 	close(release)
 	for _, c := range all[:5] {
 		if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
-			t.Errorf("held: got %s", resp.Status)
+			t.Errorf("slow request: got %s", resp.Status)
 		}
 	}
 	all[5].send(t, lookRequest("s", 8000))
@@ -97,7 +97,7 @@
 	}
 }
 
-// A request at a hung backend is failed before SIGKILL.
+// A request to a hung backend fails before SIGKILL arrives.
 func TestShutdownFailsHungRequests(t *testing.T) {
 	p, b := startProxyAndBackend(t, backendtest.Hang(t))
 	c := connect(t, p)
@@ -116,7 +116,8 @@
 	}
 }
 
-// A response after the latency objective is still useful: what is open at SIGTERM keeps its deadline, up to the cutoff.
+// Requests that are open at SIGTERM keep their deadlines, up to the cutoff. They don't fail at their latency objective,
+// since a later response is still useful.
 func TestShutdownKeepsDeadlinesOfOpenRequests(t *testing.T) {
 	p, b := startProxyAndBackend(t, backendtest.Hang(t))
 	for i, ms := range []int{2000, 8000} {
@@ -125,23 +126,23 @@
 	}
 	backendtest.WaitUntil(t, func() bool { return b.Requests.Load() == 2 })
 	p.stop()
-	type times struct{ own, until, long, cutoff balancer.Microseconds }
+	type times struct{ shortExpiry, shortDeadline, longExpiry, cutoff balancer.Microseconds }
 	var got times
 	backendtest.WaitUntil(t, func() bool {
-		words := make(chan times, 1)
+		answers := make(chan times, 1)
 		p.onLoop(func() {
-			soon, late := p.loop.requests["0"], p.loop.requests["1"]
-			words <- times{soon.expiry.Due(), soon.Deadline + microtime.FromDuration(expiryLeeway), late.expiry.Due(), p.loop.cutoff}
+			short, long := p.loop.requests["0"], p.loop.requests["1"]
+			answers <- times{short.expiry.Due(), short.Deadline + microtime.FromDuration(expiryLeeway), long.expiry.Due(), p.loop.cutoff}
 		})
-		got = backendtest.Receive(t, "answer of the loop", words)
+		got = backendtest.Receive(t, "answer of the loop", answers)
 		return got.cutoff > 0
 	})
-	if got.own != got.until || got.long != got.cutoff {
-		t.Errorf("ends after SIGTERM: %+v", got)
+	if got.shortExpiry != got.shortDeadline || got.longExpiry != got.cutoff {
+		t.Errorf("expiry times after SIGTERM: %+v", got)
 	}
 }
 
-// SIGTERM cuts off no response that is being forwarded; the process ends after it.
+// A shutdown doesn't cut off a response that is being forwarded, even at the cutoff. The process ends after the response.
 func TestShutdownFinishesStreamedResponses(t *testing.T) {
 	release := make(chan struct{})
 	b := startBufferingBackend(t, func(w io.Writer, _ *http.Request, _ []byte) {
@@ -166,12 +167,13 @@
 	}
 }
 
-// At the cutoff the loop fails open requests. On a busy machine their responses may be written later than that.
+// At the cutoff the loop fails open requests, but on a busy machine their responses may be written later. Shutdown waits for
+// these responses, but not for the rest of an incomplete head.
 func TestShutdownAnswersOpenRequestAfterCutoff(t *testing.T) {
 	release := make(chan struct{})
 	p, b := startProxyAndBackend(t, respondAfter(release))
-	c, half := connect(t, p), connect(t, p)
-	half.send(t, lookRequest("1", 8000)[:30])
+	c, incomplete := connect(t, p), connect(t, p)
+	incomplete.send(t, lookRequest("1", 8000)[:30])
 	c.send(t, lookRequest("h", 8000))
 	backendtest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 && p.clients.Stats().Open == 2 })
 	ended := make(chan struct{})
@@ -182,24 +184,24 @@
 		t.Errorf("got %s, close %v", resp.Status, resp.Close)
 	}
 	c.Close()
-	backendtest.Receive(t, "end of Shutdown beside an incomplete head", ended)
+	backendtest.Receive(t, "end of Shutdown with an incomplete head", ended)
 }
 
-// A connection that is established, but not accepted yet, would be reset by the listener's close.
+// Closing the listener would reset the connections in its accept queue, so Shutdown waits until they have been accepted.
 func TestShutdownAcceptsQueuedConnections(t *testing.T) {
 	b := startOKBackend(t)
 	accepted, proceed := make(chan struct{}, 2), make(chan struct{})
-	seen := make(chan string, 1000)
+	listenerCalls := make(chan string, 1000)
 	p := startAdjustedProxy(t, func(p *Proxy) {
 		p.clients.Listener = gatedListener{Listener: p.clients.Listener,
 			gate:      func(c net.Conn) net.Conn { accepted <- struct{}{}; <-proceed; return c },
-			onInspect: func() { seen <- "look" }, onClose: func() { seen <- "close" }}
+			onInspect: func() { listenerCalls <- "look" }, onClose: func() { listenerCalls <- "close" }}
 	}, servingList(b))
 	first := connect(t, p)
 	backendtest.Receive(t, "accept", accepted)
-	second := connect(t, p) // in the queue
+	second := connect(t, p) // waits in the accept queue
 	go p.server.Shutdown(time.Now().Add(backendtest.Timeout))
-	backendtest.Receive(t, "inspection or close of the listener", seen)
+	backendtest.Receive(t, "inspection or close of the listener", listenerCalls)
 	close(proceed)
 	for i, c := range []*testClient{first, second} {
 		c.send(t, shortPost(string(rune('1'+i))))
@@ -209,7 +211,7 @@
 	}
 }
 
-// A listener that has failed for good ends the process only after the open requests.
+// If the listener fails permanently, the process ends only after the open requests have their responses.
 func TestFailedListenerLosesNoResponse(t *testing.T) {
 	release, fail := make(chan struct{}), make(chan struct{})
 	b := backendtest.Start(t, respondAfter(release))
--- a/internal/proxy/takeover_test.go
+++ b/internal/proxy/takeover_test.go
@@ -24,8 +24,9 @@
 	"baylock/internal/settings"
 )
 
-// A new version takes over under load: every request is answered in full on any connection, new connections go to the
-// new process, detached backends and lame duck hold at both, and both share the limits.
+// A new process takes over from an old one under load. Every request gets its complete response, whichever process its
+// connection goes to. New connections go to the new process. Detached backends and lame duck mode apply to both processes,
+// and both share the limits.
 func TestTakeoverUnderLoadLosesNoRequest(t *testing.T) {
 	a, b, c := startOKBackend(t), startOKBackend(t), startOKBackend(t)
 	d, dir := startDiscovery(t), t.TempDir()
@@ -33,7 +34,7 @@
 	old := startWithConsole(t, dir, "127.0.0.1:0", d.addr, entries...)
 	before := old.maxClientConnections()
 	if got := callConsole(t, old, "POST /_backends/detach", "a"); got != 200 {
-		t.Fatalf("detach: %d", got)
+		t.Fatalf("detach: got %d", got)
 	}
 	end := make(chan struct{})
 	var load sync.WaitGroup
@@ -70,15 +71,15 @@
 	old.stop()
 	backendtest.WaitUntil(t, func() bool { return old.server.State().Draining })
 	if got := old.Proxy.server.Healthy(); !got {
-		t.Error("the old process is unhealthy while another serves")
+		t.Error("the old process is unhealthy while the new one serves")
 	}
 	if err := backendtest.Receive(t, "end of the old process", old.done); err != nil {
 		t.Error(err)
 	}
 	close(end)
 	load.Wait()
-	if next.serveLookups(t, 5) != 5 || next.health(t) != 200 {
-		t.Error("the new process does not serve alone")
+	if next.sendLookups(t, 5) != 5 || next.healthStatus(t) != 200 {
+		t.Error("the new process does not serve after the end of the old one")
 	}
 	backendtest.WaitUntil(t, func() bool { return next.maxClientConnections() == before })
 	if n := a.Requests.Load(); n != 0 {
@@ -86,7 +87,8 @@
 	}
 }
 
-// sendUntil sends requests until end is closed, on one connection after the other.
+// sendUntil sends requests until end is closed. It opens a new connection after five requests, or if the
+// proxy closes one earlier.
 func sendUntil(t *testing.T, end <-chan struct{}, address, client string) {
 	t.Helper()
 	c := newClient(nil)
@@ -99,7 +101,7 @@
 		if c.Conn == nil {
 			connection, err := net.Dial("tcp", address)
 			if err != nil {
-				t.Errorf("no connection: %v", err)
+				t.Errorf("cannot connect: %v", err)
 				return
 			}
 			_ = connection.SetDeadline(time.Now().Add(backendtest.Timeout))
@@ -120,7 +122,7 @@
 	}
 }
 
-// isDetached tells whether the loop has detached a backend.
+// isDetached reports whether the loop has detached a backend.
 func (p *runningProxy) isDetached(id string) bool {
 	got := make(chan bool, 1)
 	p.onLoop(func() { got <- p.loop.detached[id] })
@@ -131,10 +133,10 @@
 	return p.clients.Stats().Max
 }
 
-// TestMain runs a proxy in a process of its own where TestTakeoverSurvivesKillOfNewProcess starts it so.
+// TestMain runs the tests, or a proxy instead in the process that TestTakeoverSurvivesKillOfNewProcess starts.
 func TestMain(m *testing.M) {
 	if text := os.Getenv("PROXY_TO_KILL"); text != "" {
-		if err := runToBeKilled(text); err != nil {
+		if err := runChildProxy(text); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 		}
 		os.Exit(1)
@@ -142,7 +144,8 @@
 	os.Exit(m.Run())
 }
 
-func runToBeKilled(text string) error {
+// runChildProxy runs a proxy with the configuration in text. It prints the console's address once the listeners are open.
+func runChildProxy(text string) error {
 	var cfg config.Config
 	if err := json.Unmarshal([]byte(text), &cfg); err != nil {
 		return err
@@ -162,7 +165,8 @@
 	return p.Run(context.Background())
 }
 
-// The locks of a process that is killed end with it; the other process goes on alone and keeps the operators' state.
+// If the new process is killed, the operating system releases its locks. The old process then gets all of the limits back
+// and keeps the operator state.
 func TestTakeoverSurvivesKillOfNewProcess(t *testing.T) {
 	a, b := startOKBackend(t), startOKBackend(t)
 	d, dir := startDiscovery(t), t.TempDir()
@@ -190,29 +194,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	both := &runningProxy{Proxy: old.Proxy}
+	shared := &runningProxy{Proxy: old.Proxy} // both processes listen at its address
 	resp, err := http.Post("http://"+strings.TrimSpace(line)+"/_backends/detach", "", strings.NewReader("a"))
 	if err != nil || resp.StatusCode != 200 {
-		t.Fatalf("the new process answered %v, %v", resp, err)
+		t.Fatalf("detach at the new process: got %v, %v", resp, err)
 	}
 	resp.Body.Close()
-	if ok := both.serveLookups(t, 5); ok != 5 || old.clients.Stats().Open != 0 {
+	if ok := shared.sendLookups(t, 5); ok != 5 || old.clients.Stats().Open != 0 {
 		t.Errorf("%d of 5 served, %d connections at the old process", ok, old.clients.Stats().Open)
 	}
 	backendtest.WaitUntil(t, func() bool { return old.server.State().TakenOver && old.maxClientConnections() < before })
 	_ = next.Process.Kill()
 	backendtest.WaitUntil(t, func() bool { return !old.server.State().TakenOver && old.maxClientConnections() == before })
-	if ok := old.serveLookups(t, 20); ok != 20 || a.Requests.Load() != 0 {
+	if ok := old.sendLookups(t, 20); ok != 20 || a.Requests.Load() != 0 {
 		t.Errorf("%d of 20 served, %d to the detached backend", ok, a.Requests.Load())
 	}
 	old.stop()
 	backendtest.WaitUntil(t, func() bool { return old.server.State().Draining })
 	if old.server.Healthy() {
-		t.Error("it shuts down without a successor, and is healthy")
+		t.Error("the process is healthy while it shuts down without a successor")
 	}
 }
 
-// A damaged state file is logged, and nothing but the state is lost.
+// A damaged state file is logged, and only the stored operator state is lost: the proxy serves requests and console calls. If
+// the file is damaged while the proxy runs, the operator state stays in force.
 func TestProxyServesWithDamagedStateFile(t *testing.T) {
 	for name, text := range map[string]string{"half": `{"version":3,"det`, "other": `[1,2]`, "empty": "",
 		"binary": "\x00\x01", "numbers": `{"version":"x"}`, "list": `{"version":1,"detached":{"a":1}}`} {
@@ -224,13 +229,13 @@
 			}
 			b := startOKBackend(t)
 			p := startWithConsole(t, dir, "127.0.0.1:0", startDiscovery(t).addr, listEntry("a", b.Address, discovery.Serving))
-			if ok := p.serveLookups(t, 1); ok != 1 {
-				t.Error("not served")
+			if ok := p.sendLookups(t, 1); ok != 1 {
+				t.Error("the request was not served")
 			}
 			if got := callConsole(t, p, "POST /_backends/detach", "a"); got != 200 {
-				t.Errorf("detach: %d", got)
+				t.Errorf("detach: got %d", got)
 			}
-			if err := os.WriteFile(path, []byte(text), 0o600); err != nil { // while it runs
+			if err := os.WriteFile(path, []byte(text), 0o600); err != nil { // while the proxy runs
 				t.Fatal(err)
 			}
 			time.Sleep(2 * stateSyncInterval)
@@ -241,7 +246,7 @@
 	}
 }
 
-// Detached backends and lame duck hold for a process that starts after the other has ended.
+// A process that starts after the previous one has ended restores the detached backends and the lame duck mode.
 func TestStartRestoresOperatorState(t *testing.T) {
 	a, b := startOKBackend(t), startOKBackend(t)
 	d, dir := startDiscovery(t), t.TempDir()
@@ -252,15 +257,16 @@
 	p.stop()
 	backendtest.Receive(t, "end of Run", p.done)
 	p = startWithConsole(t, dir, "127.0.0.1:0", d.addr, entries...)
-	if got := p.health(t); got != 503 {
-		t.Errorf("health is %d", got)
+	if got := p.healthStatus(t); got != 503 {
+		t.Errorf("health check: got %d", got)
 	}
-	if ok := p.serveLookups(t, 20); ok != 20 || a.Requests.Load() != 0 {
+	if ok := p.sendLookups(t, 20); ok != 20 || a.Requests.Load() != 0 {
 		t.Errorf("%d of 20 served, %d to the detached backend", ok, a.Requests.Load())
 	}
 }
 
-// A new version begins with what the old one's balancer has learned, unless the file is damaged or old.
+// A process that takes over imports the learned state of the old process's balancer, unless the file is damaged or not
+// recent.
 func TestTakeoverImportsLearnedState(t *testing.T) {
 	b := startOKBackend(t)
 	d, dir := startDiscovery(t), t.TempDir()
@@ -271,9 +277,9 @@
 		p.onLoop(func() { got <- p.loop.balancer.ExportState() })
 		return backendtest.Receive(t, "answer of the loop", got)
 	}
-	l := learned(old)
-	l.QuotaMultiplier, l.TierLimit = 0.5, 9
-	old.onLoop(func() { old.loop.balancer.ImportState(l) })
+	changed := learned(old)
+	changed.QuotaMultiplier, changed.TierLimit = 0.5, 9
+	old.onLoop(func() { old.loop.balancer.ImportState(changed) })
 	backendtest.WaitUntil(t, func() bool {
 		got, ok, err := old.operatorState.LoadLearned()
 		return ok && err == nil && got.QuotaMultiplier == 0.5
@@ -291,9 +297,9 @@
 	}
 }
 
-// SIGKILL could cut off the long response to a request that the old process accepted late. It closes idle connections
-// after 0.5 s, and fails a request whose body ends later before its long response begins; one that arrived in time gets
-// its complete response.
+// SIGKILL could cut off the long response to a request that the old process receives late. That process therefore closes
+// idle connections after 0.5 s. A request whose body ends later than streamingWindow fails before its long response starts,
+// while one that was received in time gets its complete response.
 func TestTakeoverFailsLateRequestsWithLongResponses(t *testing.T) {
 	b := startBufferingBackend(t, func(w io.Writer, r *http.Request, body []byte) {
 		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n%s", distinctText(300_000))
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -16,8 +16,9 @@
 	"baylock/internal/discovery"
 )
 
-// Each answer is applied. An invalid or broken one changes nothing, and the next call is for the complete list.
-func TestWatchRecoversFromInvalidAndBrokenAnswers(t *testing.T) {
+// Each valid answer of discovery is applied. An invalid or truncated one changes nothing, and the next call requests the
+// complete list.
+func TestWatchRecoversFromInvalidAndTruncatedAnswers(t *testing.T) {
 	a, b := startOKBackend(t), startOKBackend(t)
 	d := startDiscovery(t)
 	p := startProxy(t, d.addr, 200, "")
@@ -27,63 +28,63 @@
 		resp, _ := c.readResponse(t)
 		return resp.StatusCode
 	}
-	ask := func(id string) int {
+	lookupStatus := func(id string) int {
 		c := connect(t, p)
 		c.send(t, lookRequest(id, 4000))
 		resp, _ := c.readResponse(t)
 		return resp.StatusCode
 	}
-	query := func(want string) {
+	expectCall := func(want string) {
 		t.Helper()
 		if got := backendtest.Receive(t, "call", d.calls); got != want {
-			t.Errorf("asked %q, want %q", got, want)
+			t.Errorf("got the call %q, want %q", got, want)
 		}
 	}
-	query("")
+	expectCall("")
 	if got := health(); got != 503 {
-		t.Errorf("healthy without a list: %d", got)
+		t.Errorf("health check without a list: got %d", got)
 	}
 	d.answers <- listJSON(5, true, listEntry("a", a.Address, discovery.Serving))
-	query("from=5&hold_ms=2000")
+	expectCall("from=5&hold_ms=2000")
 	if got := health(); got != 200 {
-		t.Errorf("not healthy with a list: %d", got)
+		t.Errorf("health check with a list: got %d", got)
 	}
-	for _, nonsense := range []string{`{"index":6,"snap`, listJSON(6, false, listEntry("a", "nowhere", discovery.Serving)),
+	for _, invalid := range []string{`{"index":6,"snap`, listJSON(6, false, listEntry("a", "nowhere", discovery.Serving)),
 		listJSON(6, false, listEntry("a", a.Address, "RESTING")), ""} {
-		d.answers <- nonsense
-		if nonsense == "" {
-			query("from=5&hold_ms=2000") // net/http asks once more by itself; a question may be put twice
+		d.answers <- invalid
+		if invalid == "" {
+			expectCall("from=5&hold_ms=2000") // net/http retries the call by itself; discovery may get a call twice
 		} else {
-			query("")
+			expectCall("")
 		}
 		d.answers <- listJSON(5, true, listEntry("a", a.Address, discovery.Serving))
-		query("from=5&hold_ms=2000")
-		if got := ask("x"); got != 200 {
-			t.Errorf("after %q: %d", nonsense, got)
+		expectCall("from=5&hold_ms=2000")
+		if got := lookupStatus("x"); got != 200 {
+			t.Errorf("after %q: got %d", invalid, got)
 		}
 	}
 	d.answers <- listJSON(7, false, listEntry("a", a.Address, discovery.Draining), listEntry("b", b.Address, discovery.Serving))
-	query("from=7&hold_ms=2000")
+	expectCall("from=7&hold_ms=2000")
 	served := a.Requests.Load()
 	for i := range 20 {
-		if got := ask(fmt.Sprint("y", i)); got != 200 {
-			t.Errorf("after the drain: %d", got)
+		if got := lookupStatus(fmt.Sprint("y", i)); got != 200 {
+			t.Errorf("after the drain: got %d", got)
 		}
 	}
 	if a.Requests.Load() != served || b.Requests.Load() != 20 {
-		t.Errorf("%d requests to a draining backend", a.Requests.Load()-served)
+		t.Errorf("%d requests to the draining backend", a.Requests.Load()-served)
 	}
 }
 
-// The connection to discovery falls silent: the fake holds the watch and never answers. The next call is one from the same
-// version, on another connection.
-func TestWatchRepeatsCallAfterSilence(t *testing.T) {
+// If discovery never answers a watch, the watch times out, and the next call is a watch from the same version on another
+// connection.
+func TestWatchRepeatsCallAfterTimeout(t *testing.T) {
 	a := startOKBackend(t)
 	d := startDiscovery(t)
 	p := startProxy(t, d.addr, 200, "")
 	for i, want := range []string{"", "from=5&hold_ms=2000", "from=5&hold_ms=2000", "from=6&hold_ms=2000"} {
 		if got := backendtest.Receive(t, "call", d.calls); got != want {
-			t.Fatalf("call %d asked %q, want %q", i, got, want)
+			t.Fatalf("call %d is %q, want %q", i, got, want)
 		}
 		if i%2 == 0 {
 			d.answers <- listJSON(5+i/2, true, listEntry("a", a.Address, discovery.Serving))
@@ -96,28 +97,29 @@
 	}
 }
 
-// At its return discovery answers only watches that still wait, so one has to be open at any time. The fake answers only
-// those.
-func TestWatchIsOpenWhenDiscoveryReturns(t *testing.T) {
+// When discovery comes back, it answers only watches that are still open, so the proxy has to keep one open at any time. The
+// fake behaves in the same way.
+func TestWatchIsOpenWhenDiscoveryRecovers(t *testing.T) {
 	a, b := startOKBackend(t), startOKBackend(t)
 	d := startDiscovery(t)
 	p := startProxy(t, d.addr, 200, listJSON(3, true, listEntry("a", a.Address, discovery.Serving), listEntry("b", b.Address, discovery.Serving)))
-	for i, want := range []string{"", "from=3&hold_ms=2000", "from=3&hold_ms=2000"} { // down until the last
+	for i, want := range []string{"", "from=3&hold_ms=2000", "from=3&hold_ms=2000"} { // discovery is down until the last call
 		if got := backendtest.Receive(t, "call", d.calls); got != want {
-			t.Fatalf("call %d asked %q, want %q", i, got, want)
+			t.Fatalf("call %d is %q, want %q", i, got, want)
 		}
 	}
 	d.answers <- listJSON(4, false, listEntry("a", a.Address, discovery.Draining))
 	if got := backendtest.Receive(t, "call", d.calls); got != "from=4&hold_ms=2000" {
-		t.Fatalf("then asked %q", got)
+		t.Fatalf("the next call is %q", got)
 	}
 	before := a.Requests.Load()
-	if ok := p.serveLookups(t, 20); ok != 20 || a.Requests.Load() != before {
-		t.Errorf("%d of 20 served, %d by a backend that drains", ok, a.Requests.Load()-before)
+	if ok := p.sendLookups(t, 20); ok != 20 || a.Requests.Load() != before {
+		t.Errorf("%d of 20 served, %d requests to the draining backend", ok, a.Requests.Load()-before)
 	}
 }
 
-// startPolling starts a proxy that polls the list at least at an interval. known is the list that it starts with, or empty.
+// startPolling starts a proxy that polls the endpoint list at least once per interval. known is the cached endpoint list
+// that it starts with, or empty.
 func startPolling(t *testing.T, d *fakeDiscovery, interval time.Duration, known string) *runningProxy {
 	t.Helper()
 	replace := strings.NewReplacer(`"automatic"`, `"subscribe"`,
@@ -125,63 +127,63 @@
 	return startProxyWithSettings(t, replace.Replace(siteText), d.addr, 200, known)
 }
 
-// Where the list is polled, a watch that falls silent has to be detected within 6 s. A start with a known version makes one
-// call, not one for the complete list and then another.
-func TestPollDetectsSilentWatchInTime(t *testing.T) {
+// If the list is polled, a watch that gets no answer has to be detected within 6 s. A proxy that starts with a cached list
+// makes one call for the changes since its version, without a call for the complete list before it.
+func TestPollDetectsHungWatchInTime(t *testing.T) {
 	a := startOKBackend(t)
 	d := startDiscovery(t)
 	startPolling(t, d, 10*time.Second, listJSON(5, true, listEntry("a", a.Address, discovery.Serving)))
 	got := backendtest.Receive(t, "call", d.calls)
-	opened := time.Now()
+	watchedSince := time.Now()
 	var ms int64
 	if _, err := fmt.Sscanf(got, "from=5&hold_ms=%d", &ms); err != nil || ms > 4000 {
-		t.Errorf("first asked %q", got)
+		t.Errorf("the first call is %q", got)
 	}
 	if got := backendtest.Receive(t, "call", d.calls); got != "" {
-		t.Errorf("after the silence asked %q", got)
+		t.Errorf("the call after the timeout is %q", got)
 	}
-	if took := time.Since(opened); took > 5*time.Second {
-		t.Errorf("asked %v after the watch fell silent", took)
+	if took := time.Since(watchedSince); took > 5*time.Second {
+		t.Errorf("the second call came %v after the first", took)
 	}
 }
 
-// A change has to be applied within 6 s, whatever call was silent, abandoned or rejected meanwhile. Here a watch falls silent
-// as the change is made, and the call after it is abandoned.
-func TestPollReplacesAbandonedCallInTime(t *testing.T) {
+// A change has to be applied within 6 s, even if calls hang, time out or are rejected in the meantime. Here a watch hangs
+// when the change is made, and the call after it times out as well.
+func TestPollRepeatsTimedOutCallInTime(t *testing.T) {
 	t.Parallel()
 	a, b := startOKBackend(t), startOKBackend(t)
 	d := startDiscovery(t)
 	p := startPolling(t, d, 24*time.Second,
 		listJSON(5, true, listEntry("a", a.Address, discovery.Serving), listEntry("b", b.Address, discovery.Serving)))
 	backendtest.Receive(t, "watch", d.calls)
-	silent := time.Now()
+	watchedSince := time.Now()
 	backendtest.Receive(t, "call for the complete list", d.calls)
-	backendtest.Receive(t, "call after that was abandoned", d.calls)
+	backendtest.Receive(t, "call after that one timed out", d.calls)
 	d.answers <- listJSON(6, true, listEntry("a", a.Address, discovery.Serving), listEntry("b", b.Address, discovery.Draining))
 	backendtest.WaitUntil(t, func() bool { _, ok := p.loop.pool.Find("b"); return !ok })
-	if took := time.Since(silent); took > 6*time.Second {
+	if took := time.Since(watchedSince); took > 6*time.Second {
 		t.Errorf("applied after %v", took)
 	}
 }
 
-// A process that starts without a list, where lists are polled, polls until it has one: the balancer, which otherwise says
-// when to poll, has none to begin with.
-func TestStartWithoutListPollsUntilListed(t *testing.T) {
+// If lists are polled, a process that starts without one polls until it has one. Otherwise the balancer decides when to
+// poll, but it can't do that without a list.
+func TestStartWithoutListPollsUntilListArrives(t *testing.T) {
 	t.Parallel()
 	a, d := startOKBackend(t), startDiscovery(t)
 	for range 5 {
 		d.answers <- ""
 	}
 	d.answers <- servingList(a)
-	began := time.Now()
+	start := time.Now()
 	p := startPolling(t, d, 24*time.Second, "")
-	backendtest.WaitUntil(t, func() bool { return p.health(t) == http.StatusOK })
-	if took := time.Since(began); took > 10*time.Second {
+	backendtest.WaitUntil(t, func() bool { return p.healthStatus(t) == http.StatusOK })
+	if took := time.Since(start); took > 10*time.Second {
 		t.Errorf("ready after %v", took)
 	}
 }
 
-// A list of 1,024 backends, indented, and as many changes of it.
+// A list of 1,024 backends in indented JSON is applied, and so is an update that changes all of them.
 func TestWatchAppliesListOfThousandBackends(t *testing.T) {
 	t.Parallel()
 	b, d := startOKBackend(t), startDiscovery(t)
@@ -198,8 +200,8 @@
 	}
 	d.answers <- list(1, true, discovery.Serving)
 	p := startProxy(t, d.addr, 200, "")
-	backendtest.WaitUntil(t, func() bool { return p.health(t) == http.StatusOK })
-	if ok := p.serveLookups(t, 200); ok != 200 {
+	backendtest.WaitUntil(t, func() bool { return p.healthStatus(t) == http.StatusOK })
+	if ok := p.sendLookups(t, 200); ok != 200 {
 		t.Errorf("%d of 200 served", ok)
 	}
 	d.answers <- list(2, false, discovery.Draining)
@@ -211,17 +213,18 @@
 	}
 }
 
-// watchTimeout is how long the discovery client waits for a pushed answer beyond the wait that it asked for.
+// watchTimeout is how long the discovery client waits for the answer to a watch beyond the wait that it requested, if
+// discovery pushes the list.
 const watchTimeout = 100 * time.Millisecond
 
-// A list that breaks off or stalls in the middle changes nothing: the last one stays in force, and the complete list is
-// requested again soon.
+// An answer that is truncated or stalls in the middle changes nothing: the last list stays in force, and the complete list
+// is soon requested again.
 func TestWatchRequestsIncompleteListAgain(t *testing.T) {
 	a, b := startOKBackend(t), startOKBackend(t)
 	complete := listJSON(9, true, listEntry("b", b.Address, discovery.Serving))
-	for name, cut := range map[string]bool{"breaks off": true, "stalls": false} {
+	for name, truncated := range map[string]bool{"is truncated": true, "stalls": false} {
 		t.Run(name, func(t *testing.T) {
-			over := make(chan struct{})
+			release := make(chan struct{})
 			var calls atomic.Int32
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				switch n := calls.Add(1); {
@@ -229,9 +232,9 @@
 					w.Header().Set("Content-Length", fmt.Sprint(len(complete)))
 					_, _ = io.WriteString(w, complete[:len(complete)/2])
 					_ = http.NewResponseController(w).Flush()
-					if !cut {
+					if !truncated {
 						select {
-						case <-over:
+						case <-release:
 						case <-r.Context().Done():
 						}
 					}
@@ -239,72 +242,73 @@
 					_, _ = io.WriteString(w, complete)
 				default:
 					select {
-					case <-over:
+					case <-release:
 					case <-r.Context().Done():
 					}
 				}
 			}))
 			defer s.Close()
-			defer close(over)
+			defer close(release)
 			p := startProxy(t, strings.TrimPrefix(s.URL, "http://"), 200, servingList(a))
 			start, before := time.Now(), b.Requests.Load()
-			if ok := p.serveLookups(t, 1); ok != 1 {
-				t.Error("the last list does not stand")
+			if ok := p.sendLookups(t, 1); ok != 1 {
+				t.Error("the last list is no longer in force")
 			}
-			backendtest.WaitUntil(t, func() bool { p.serveLookups(t, 1); return b.Requests.Load() > before })
+			backendtest.WaitUntil(t, func() bool { p.sendLookups(t, 1); return b.Requests.Load() > before })
 			if took := time.Since(start); took > watchTimeout+time.Second {
-				t.Errorf("the present list was known after %v", took)
+				t.Errorf("the complete list was applied after %v", took)
 			}
 		})
 	}
 }
 
-// A new configuration names another address of discovery: its complete list replaces the old one, whatever their versions, the
-// old watch ends, and later answers of the old address are ignored. The old list stays in force until then.
-func TestReloadReplacesDiscovery(t *testing.T) {
+// A reload may set another address of discovery. The complete list from the new address replaces the old list, whatever
+// their versions. The old watch ends, and later answers from the old address are ignored. The old list stays in force until
+// the new one arrives.
+func TestReloadReplacesDiscoveryAddress(t *testing.T) {
 	a, b := startOKBackend(t), startOKBackend(t)
-	ds := []*fakeDiscovery{startDiscovery(t), startDiscovery(t)}
-	p := startProxy(t, ds[0].addr, 200, "")
-	ask := func(id string, of *backendtest.Backend) {
+	services := []*fakeDiscovery{startDiscovery(t), startDiscovery(t)}
+	p := startProxy(t, services[0].addr, 200, "")
+	checkLookup := func(id string, target *backendtest.Backend) {
 		t.Helper()
-		came, c := of.Requests.Load(), connect(t, p)
+		before, c := target.Requests.Load(), connect(t, p)
 		c.send(t, lookRequest(id, 4000))
-		if resp, _ := c.readResponse(t); resp.StatusCode != 200 || of.Requests.Load() != came+1 {
-			t.Errorf("%s: got %s, %d more requests", id, resp.Status, of.Requests.Load()-came)
+		if resp, _ := c.readResponse(t); resp.StatusCode != 200 || target.Requests.Load() != before+1 {
+			t.Errorf("request %s: got %s, %d more requests to the expected backend", id, resp.Status, target.Requests.Load()-before)
 		}
 	}
-	query := func(of *fakeDiscovery, want string) {
+	expectCall := func(target *fakeDiscovery, want string) {
 		t.Helper()
-		if got := backendtest.Receive(t, "call", of.calls); got != want {
-			t.Errorf("asked %q, want %q", got, want)
+		if got := backendtest.Receive(t, "call", target.calls); got != want {
+			t.Errorf("got the call %q, want %q", got, want)
 		}
 	}
-	rename := func(addr string) error {
+	setDiscovery := func(addr string) error {
 		cfg := p.config
 		cfg.Discovery = addr
 		return p.Reload(cfg)
 	}
-	query(ds[0], "")
-	ds[0].answers <- listJSON(50, true, listEntry("a", a.Address, discovery.Serving))
-	query(ds[0], "from=50&hold_ms=2000")
-	ask("1", a)
-	for _, d := range ds { // the same again changes nothing
-		if err := rename(d.addr); err != nil {
+	expectCall(services[0], "")
+	services[0].answers <- listJSON(50, true, listEntry("a", a.Address, discovery.Serving))
+	expectCall(services[0], "from=50&hold_ms=2000")
+	checkLookup("1", a)
+	for _, d := range services { // the first address is in use already, so setting it changes nothing
+		if err := setDiscovery(d.addr); err != nil {
 			t.Error(err)
 		}
 	}
-	query(ds[1], "")
-	ask("2", a)
-	ds[1].answers <- listJSON(3, true, listEntry("b", b.Address, discovery.Serving))
-	query(ds[1], "from=3&hold_ms=2000")
-	ask("3", b)
-	for i := range 11 { // several in a row
-		if err := rename(ds[i%2].addr); err != nil {
+	expectCall(services[1], "")
+	checkLookup("2", a)
+	services[1].answers <- listJSON(3, true, listEntry("b", b.Address, discovery.Serving))
+	expectCall(services[1], "from=3&hold_ms=2000")
+	checkLookup("3", b)
+	for i := range 11 { // several reloads in quick succession
+		if err := setDiscovery(services[i%2].addr); err != nil {
 			t.Error(err)
 		}
 	}
-	for range cap(ds[0].answers) { // some may go to calls that have ended
-		ds[0].answers <- servingList(a)
+	for range cap(services[0].answers) { // calls that have ended may take some of them
+		services[0].answers <- servingList(a)
 	}
 	backendtest.WaitUntil(t, func() bool {
 		c := connect(t, p)
@@ -312,13 +316,13 @@
 		c.readResponse(t)
 		return a.Requests.Load() > 2
 	})
-	ask("4", a)
+	checkLookup("4", a)
 	p.stop()
-	_ = rename(ds[1].addr) // while it ends
+	_ = setDiscovery(services[1].addr) // during the shutdown, which may reject it
 	if err := backendtest.Receive(t, "end of Run", p.done); err != nil {
 		t.Error(err)
 	}
-	if err := rename(ds[0].addr); err == nil { // and after
-		t.Error("a proxy that has ended took a configuration")
+	if err := setDiscovery(services[0].addr); err == nil { // after the shutdown
+		t.Error("a proxy that has ended accepted a configuration")
 	}
 }
