--- a/internal/scale/reload/change.go
+++ b/internal/scale/reload/change.go
@@ -13,18 +13,18 @@
 	"baylock/internal/scale/traffic"
 )
 
-// changeAll makes the changes one after the other. It stops after a change that is not in force at any proxy.
-func (f *fleet) changeAll(ctx context.Context, m *measurement) error {
+// runChanges makes the changes one after the other. It stops early if no proxy applied a change.
+func (f *fleet) runChanges(ctx context.Context, m *measurement) error {
 	if err := wait(ctx, f.plan.settle); err != nil {
 		return err
 	}
 	for i := range f.plan.changes {
 		f.env.Progress("change %d of %d", i+1, f.plan.changes)
-		taken, err := f.change(ctx, m)
+		applied, err := f.runChange(ctx, m)
 		if err != nil {
 			return fmt.Errorf("change %d: %w", i+1, err)
 		}
-		if taken == 0 {
+		if applied == 0 {
 			return nil
 		}
 		if err := wait(ctx, f.plan.settle); err != nil {
@@ -34,19 +34,20 @@
 	return nil
 }
 
-// change adds a class to the file of every proxy, signals all proxies, and waits until the class is known or the
-// timeout is over. It returns the number of proxies that know it.
-func (f *fleet) change(ctx context.Context, m *measurement) (taken int, err error) {
+// runChange adds a class to the configuration file of every proxy, signals all proxies, and waits until each knows the
+// class or the timeout expires. It returns the number of proxies that know it.
+func (f *fleet) runChange(ctx context.Context, m *measurement) (applied int, err error) {
 	class := f.addClass()
-	for _, p := range f.proxies { // so that a later positive answer is known to be due to the change
-		if known, err := p.knows(class); known || err != nil {
-			return 0, fmt.Errorf("%s before the change: knows class %s: %v, %w", p.config.Name, class, known, err)
+	for _, p := range f.proxies { // no proxy may know the class yet, so that the change alone can make it known
+		if known, err := p.knowsClass(class); known || err != nil {
+			return 0, fmt.Errorf("%s: check before the change: knows class %s: %v, error: %w",
+				p.config.Name, class, known, err)
 		}
 	}
-	if err := f.replaceFiles(m); err != nil {
+	if err := f.replaceConfigFiles(m); err != nil {
 		return 0, err
 	}
-	began := time.Now()
+	start := time.Now()
 	for _, p := range f.proxies {
 		if err := p.Reload(); err != nil {
 			return 0, fmt.Errorf("%s: %w", p.config.Name, err)
@@ -54,24 +55,24 @@
 	}
 	times := make([]time.Duration, len(f.proxies))
 	errs := make([]error, len(f.proxies))
-	var watches sync.WaitGroup
+	var polling sync.WaitGroup
 	for i, p := range f.proxies {
-		watches.Go(func() { times[i], errs[i] = f.waitForClass(ctx, p, class, began) })
+		polling.Go(func() { times[i], errs[i] = f.waitForClass(ctx, p, class, start) })
 	}
-	watches.Wait()
+	polling.Wait()
 	if err := errors.Join(errs...); err != nil {
 		return 0, err
 	}
 	for _, took := range times {
 		m.times = append(m.times, took)
 		if took < f.plan.timeout {
-			taken++
+			applied++
 		}
 	}
-	return taken, nil
+	return applied, nil
 }
 
-// addClass adds a class to each proxy's configuration and returns its name.
+// addClass adds a class to each proxy's settings in memory and returns its name.
 func (f *fleet) addClass() string {
 	f.addedClasses++
 	name := fmt.Sprintf("added-%d", f.addedClasses)
@@ -83,27 +84,28 @@
 	return name
 }
 
-// replaceFiles replaces the configuration files of all proxies.
-func (f *fleet) replaceFiles(m *measurement) error {
-	began := time.Now()
+// replaceConfigFiles replaces the configuration files of all proxies and records the time and the size.
+func (f *fleet) replaceConfigFiles(m *measurement) error {
+	start := time.Now()
 	for _, p := range f.proxies {
 		if err := p.WriteConfig(p.config); err != nil {
 			return err
 		}
 	}
-	m.writeTime = max(m.writeTime, time.Since(began))
+	m.writeTime = max(m.writeTime, time.Since(start))
 	size, err := fileSize(f.proxies[0].ConfigPath)
 	m.fileBytes = max(m.fileBytes, size)
 	return err
 }
 
-// waitForClass returns the time from began until the proxy knows the class, or the timeout if that is shorter.
-func (f *fleet) waitForClass(ctx context.Context, p *fleetProxy, class string, began time.Time) (time.Duration, error) {
+// waitForClass polls the proxy and returns the time from start until it knows the class, or the timeout if that is
+// shorter.
+func (f *fleet) waitForClass(ctx context.Context, p *fleetProxy, class string, start time.Time) (time.Duration, error) {
 	next := time.NewTicker(f.plan.pollInterval)
 	defer next.Stop()
 	for {
-		known, err := p.knows(class)
-		took := time.Since(began)
+		known, err := p.knowsClass(class)
+		took := time.Since(start)
 		if err != nil || known || took >= f.plan.timeout {
 			return min(took, f.plan.timeout), err
 		}
@@ -117,13 +119,14 @@
 	}
 }
 
-// knows reports whether the proxy accepts calls of a class. It answers 400 to those of an unknown one.
-func (p *fleetProxy) knows(class string) (bool, error) {
+// knowsClass reports whether the proxy accepts calls of a class. The proxy responds with status 400 to calls of an
+// unknown class.
+func (p *fleetProxy) knowsClass(class string) (bool, error) {
 	p.polls++
-	err := p.poller.Call(traffic.Call{ID: fmt.Sprintf("look-%d", p.polls), Class: class, Tenant: scale.TenantA,
-		TimeoutMs: callTimeout})
-	if answer, ok := errors.AsType[traffic.StatusError](err); ok {
-		return answer.Status != http.StatusBadRequest, nil
+	err := p.pollClient.Call(traffic.Call{ID: fmt.Sprintf("look-%d", p.polls), Class: class, Tenant: scale.TenantA,
+		TimeoutMs: callTimeoutMs})
+	if statusErr, ok := errors.AsType[traffic.StatusError](err); ok {
+		return statusErr.Status != http.StatusBadRequest, nil
 	}
 	return err == nil, err
 }
--- a/internal/scale/reload/fleet.go
+++ b/internal/scale/reload/fleet.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	listName    = "tier"
-	region      = "region-1"
-	callTimeout = 2000 // in milliseconds
+	listName      = "tier"
+	region        = "region-1"
+	callTimeoutMs = 2000
 )
 
-// fleet is the proxies, with their backend and discovery service.
+// fleet holds the proxies and the backend and discovery service that they share.
 type fleet struct {
 	env          scale.Env
 	plan         plan
@@ -30,16 +30,16 @@
 	registry     *registry.Service
 	proxies      []*fleetProxy
 	random       *rand.Rand
-	addedClasses int // number of classes that changes have added
+	addedClasses int // number of classes added so far
 }
 
 // fleetProxy is one proxy of the fleet.
 type fleetProxy struct {
 	*scale.Proxy
-	config scale.ProxyConfig
-	load   *traffic.Client
-	poller *traffic.Client
-	polls  int // calls of the poller so far
+	config     scale.ProxyConfig
+	loadClient *traffic.Client
+	pollClient *traffic.Client
+	polls      int // number of calls made with pollClient
 }
 
 func startFleet(ctx context.Context, env scale.Env, p plan) (*fleet, error) {
@@ -87,20 +87,20 @@
 	if err != nil {
 		return err
 	}
-	f.proxies = append(f.proxies, &fleetProxy{Proxy: proxy, config: config, load: traffic.NewClient(proxy.Address),
-		poller: traffic.NewClient(proxy.Address)})
+	f.proxies = append(f.proxies, &fleetProxy{Proxy: proxy, config: config,
+		loadClient: traffic.NewClient(proxy.Address), pollClient: traffic.NewClient(proxy.Address)})
 	return nil
 }
 
-// close stops all that start has started.
+// close stops everything that start has started.
 func (f *fleet) close() {
-	var ends sync.WaitGroup
-	for _, m := range f.proxies {
-		m.load.Close()
-		m.poller.Close()
-		ends.Go(m.Kill)
+	var stops sync.WaitGroup
+	for _, p := range f.proxies {
+		p.loadClient.Close()
+		p.pollClient.Close()
+		stops.Go(p.Kill)
 	}
-	ends.Wait()
+	stops.Wait()
 	if f.registry != nil {
 		f.registry.Close()
 	}
@@ -109,21 +109,21 @@
 	}
 }
 
-// withLoad generates calls through all proxies while work runs.
+// withLoad runs work while it generates calls through all proxies, and records how many calls failed.
 func (f *fleet) withLoad(ctx context.Context, m *measurement, work func() error) error {
 	loadCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	var notServed atomic.Int64
-	loaded := make(chan error, 1)
+	loadDone := make(chan error, 1)
 	go func() {
 		calls, err := traffic.OpenLoop(loadCtx, f.plan.rate*float64(len(f.proxies)), time.Hour, f.random,
 			func(number int, _ time.Time) {
 				target := f.proxies[number%len(f.proxies)]
-				err := target.load.Call(traffic.Call{
+				err := target.loadClient.Call(traffic.Call{
 					ID:        "load-" + strconv.Itoa(number),
 					Class:     scale.ReadClass,
 					Tenant:    scale.TenantA,
-					TimeoutMs: callTimeout,
+					TimeoutMs: callTimeoutMs,
 				})
 				if err != nil {
 					notServed.Add(1)
@@ -131,11 +131,11 @@
 				}
 			})
 		m.calls = calls
-		loaded <- err
+		loadDone <- err
 	}()
 	err := work()
 	stop()
-	loadErr := <-loaded
+	loadErr := <-loadDone
 	m.failedCalls = int(notServed.Load())
 	if err == nil && !errors.Is(loadErr, context.Canceled) {
 		err = loadErr
@@ -143,16 +143,16 @@
 	return err
 }
 
-// reloadCost measures the CPU time of a reload of one proxy, beyond its idle CPU time.
-func (f *fleet) reloadCost(ctx context.Context) (time.Duration, error) {
+// measureReloadCPU returns the mean CPU time of one reload of one proxy, less its idle CPU time.
+func (f *fleet) measureReloadCPU(ctx context.Context) (time.Duration, error) {
 	p := f.proxies[0]
-	used := func(each func() error) (time.Duration, error) {
+	measureCPU := func(action func() error) (time.Duration, error) {
 		before, err := p.Usage()
 		if err != nil {
 			return 0, err
 		}
 		for range f.plan.reloads {
-			if err := each(); err != nil {
+			if err := action(); err != nil {
 				return 0, err
 			}
 			if err := wait(ctx, f.plan.reloadInterval); err != nil {
@@ -162,15 +162,15 @@
 		after, err := p.Usage()
 		return after.Minus(before).CPU, err
 	}
-	idle, err := used(func() error { return nil })
+	idle, err := measureCPU(func() error { return nil })
 	if err != nil {
 		return 0, err
 	}
-	busy, err := used(p.Reload)
+	busy, err := measureCPU(p.Reload)
 	return (busy - idle) / time.Duration(f.plan.reloads), err
 }
 
-// wait waits for a while.
+// wait waits for the given duration or until the context ends.
 func wait(ctx context.Context, length time.Duration) error {
 	if timing.Wait(ctx, length) != nil {
 		return context.Cause(ctx)
--- a/internal/scale/reload/reload.go
+++ b/internal/scale/reload/reload.go
@@ -1,5 +1,5 @@
 // Package reload measures how long a changed configuration takes to be in force at many real proxies, as seen by their
-// clients, its cost, and whether calls fail meanwhile.
+// clients, how much CPU time a reload costs, and whether calls fail meanwhile.
 package reload
 
 import (
@@ -10,7 +10,7 @@
 	"baylock/internal/scale"
 )
 
-// Experiment is the experiment.
+// Experiment is the "reload" experiment.
 var Experiment = scale.Experiment{
 	Name:       "reload",
 	Summary:    "time until a changed configuration is in force at many real proxies, without a restart",
@@ -18,16 +18,16 @@
 	Run:        run,
 }
 
-// plan is the extent of a run.
+// plan configures the extent of a run.
 type plan struct {
 	proxies        int
 	backends       int           // on the endpoint list
-	changes        int           // of the configuration of all proxies
-	timeout        time.Duration // until a proxy counts as one that does not apply the change
-	pollInterval   time.Duration // of the calls that find out whether a proxy knows the added class
-	rate           float64       // calls a second through each proxy
-	settle         time.Duration // before the first change and after each
-	reloads        int           // of one proxy, to measure their CPU time
+	changes        int           // number of changes to the configuration of all proxies
+	timeout        time.Duration // after which a change counts as not in force at a proxy
+	pollInterval   time.Duration // between two calls that check whether a proxy knows the added class
+	rate           float64       // calls per second through each proxy
+	settle         time.Duration // pause before the first change and after each change
+	reloads        int           // number of reloads of one proxy, to measure their CPU time
 	reloadInterval time.Duration // between two of these reloads
 }
 
@@ -50,18 +50,18 @@
 }
 
 func runPlan(ctx context.Context, env scale.Env, p plan) (scale.Result, error) {
-	env.Progress("%d proxies start", p.proxies)
+	env.Progress("starting %d proxies", p.proxies)
 	f, err := startFleet(ctx, env, p)
 	if err != nil {
 		return scale.Result{}, err
 	}
 	defer f.close()
 	var m measurement
-	if err := f.withLoad(ctx, &m, func() error { return f.changeAll(ctx, &m) }); err != nil {
+	if err := f.withLoad(ctx, &m, func() error { return f.runChanges(ctx, &m) }); err != nil {
 		return scale.Result{}, err
 	}
-	env.Progress("one proxy, %d reloads", p.reloads)
-	if m.reloadCPU, err = f.reloadCost(ctx); err != nil {
+	env.Progress("measuring %d reloads of one proxy", p.reloads)
+	if m.reloadCPU, err = f.measureReloadCPU(ctx); err != nil {
 		return scale.Result{}, fmt.Errorf("cost of a reload: %w", err)
 	}
 	return scale.Result{Figures: m.figures(p), Notes: notes(p, env.Cores)}, nil
@@ -71,10 +71,11 @@
 	return []string{
 		fmt.Sprintf("%d proxies and the tool shared cores %v; %d backends were listed; %g calls/s through each proxy.",
 			p.proxies, cores, p.backends, p.rate),
-		"Time counts from the first signal, when all files have been replaced; the signals are sent one after the other. The " +
-			"transfer of a file to its machine is not measured, and all files share one disk here.",
-		fmt.Sprintf("A change is in force at a proxy once it knows the class that only the changed settings have. It is polled "+
-			"every %v for %v, which is the time of a proxy that does not know it by then.", p.pollInterval, p.timeout),
-		"Bytes are those of the file that each proxy reads.",
+		"Time counts from the first signal, after all files have been replaced; signals are sent one after the other. The " +
+			"transfer of a file to its machine is not measured, and all files are on one disk here.",
+		fmt.Sprintf("A change is in force at a proxy once the proxy knows the class that the change adds. Each proxy is polled "+
+			"every %v for up to %v, which is the time recorded for a proxy that does not know the class by then.",
+			p.pollInterval, p.timeout),
+		"Bytes to each proxy are the size of the configuration file that it reads.",
 	}
 }
--- a/internal/scale/reload/reload_test.go
+++ b/internal/scale/reload/reload_test.go
@@ -40,11 +40,11 @@
 		t.Errorf("got %+v", f)
 	}
 	if env.Budget.Processes() != 0 {
-		t.Errorf("%d processes still run", env.Budget.Processes())
+		t.Errorf("%d processes are still running", env.Budget.Processes())
 	}
 }
 
-// A proxy that gets no signal stands for one that never applies a change.
+// The proxy receives no signal, so it never applies the change.
 func TestProxyWithoutReloadCountsAsNotInForce(t *testing.T) {
 	env := scaletest.Env(t)
 	p := smallPlan()
@@ -56,7 +56,7 @@
 	defer f.close()
 	took, err := f.waitForClass(t.Context(), f.proxies[0], f.addClass(), time.Now())
 	if err != nil || took != p.timeout {
-		t.Fatalf("got %v, %v", took, err)
+		t.Fatalf("got time %v, error %v", took, err)
 	}
 	m := measurement{times: []time.Duration{time.Second, took, time.Millisecond}}
 	figures := m.figures(p)
@@ -72,10 +72,10 @@
 func TestQuantile(t *testing.T) {
 	sorted := []float64{1, 2, 3, 4}
 	for _, test := range []struct {
-		name   string
-		sorted []float64
-		part   float64
-		want   float64
+		name     string
+		sorted   []float64
+		fraction float64
+		want     float64
 	}{
 		{"minimum", sorted, 0, 1},
 		{"first value", sorted, 0.25, 1},
@@ -86,7 +86,7 @@
 		{"no values", nil, 0.5, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := quantile(test.sorted, test.part); got != test.want {
+			if got := quantile(test.sorted, test.fraction); got != test.want {
 				t.Errorf("got %v, want %v", got, test.want)
 			}
 		})
--- a/internal/scale/slopes/figures.go
+++ b/internal/scale/slopes/figures.go
@@ -6,14 +6,14 @@
 	"baylock/internal/scale"
 )
 
-// The targets for the cost of control.
+// The targets for the cost of control of one proxy.
 const (
 	maxControlMB    = 32
 	maxControlCPU   = 42_000 // microseconds a second: 4.2% of a core
 	maxControlBytes = 5_000  // bytes a second
 )
 
-// quantity describes how a metric is shown.
+// quantity describes how a metric is reported.
 type quantity struct {
 	metric                metric
 	situation, name, unit string
@@ -26,11 +26,11 @@
 		{idleMemory, "idle", "memory", "MB", memory},
 		{idleCPU, "idle", "processor time", "µs/s", cpu},
 		{idleBytes, "idle", "bytes of discovery", "B/s", bytes},
-		{useMemory, "in use", "memory", "MB", memory},
-		{useCPU, "in use", "processor time, calls included", "µs/s", nil},
-		{useBytes, "in use", "bytes of discovery", "B/s", bytes},
+		{inUseMemory, "in use", "memory", "MB", memory},
+		{inUseCPU, "in use", "processor time, calls included", "µs/s", nil},
+		{inUseBytes, "in use", "bytes of discovery", "B/s", bytes},
 		{callCPU, "in use", "processor time of a call", "µs", nil},
-		{useChangeCPU, "in use", "processor time of a change", "µs", nil},
+		{inUseChangeCPU, "in use", "processor time of a change", "µs", nil},
 		{changeCPU, "change", "processor time", "µs", nil},
 		{changeBytes, "change", "bytes of discovery", "B", nil},
 		{snapshotCPU, "whole list", "processor time", "µs", nil},
@@ -41,7 +41,8 @@
 	}
 }
 
-// figuresOf returns the figures of each quantity: one for each list size, and the line through them.
+// figuresOf returns the figures of each quantity: one per list size, and the slope and intercept of the line fitted
+// to them.
 func figuresOf(m mode, points []*point) ([]scale.Figure, error) {
 	var figures []scale.Figure
 	for _, q := range quantities() {
@@ -66,7 +67,7 @@
 	return figures, nil
 }
 
-// lineFigures returns a line's slope and intercept.
+// lineFigures returns the slope and the intercept of a fitted line as figures.
 func lineFigures(m mode, q quantity, line scale.Line, points int) []scale.Figure {
 	slope, unit := line.Slope, q.unit
 	if smaller, ok := map[string]string{"MB": "kB", "kB": "B", "ms": "µs"}[q.unit]; ok {
--- a/internal/scale/slopes/measure.go
+++ b/internal/scale/slopes/measure.go
@@ -14,29 +14,29 @@
 type metric int
 
 const (
-	idleMemory    metric = iota // MB
-	idleCPU                     // µs/s
-	idleBytes                   // B/s
-	useMemory                   // MB
-	useCPU                      // µs/s
-	useBytes                    // B/s
-	callCPU                     // µs for each call
-	useChangeCPU                // µs for each change, while there are calls
-	changeCPU                   // µs for each change
-	changeBytes                 // B for each change
-	snapshotCPU                 // µs for each snapshot
-	snapshotBytes               // B for each snapshot
-	restartTime                 // ms
-	restartCPU                  // ms
-	restartBytes                // kB
-	metrics
+	idleMemory     metric = iota // MB
+	idleCPU                      // µs/s
+	idleBytes                    // B/s
+	inUseMemory                  // MB
+	inUseCPU                     // µs/s
+	inUseBytes                   // B/s
+	callCPU                      // µs per call
+	inUseChangeCPU               // µs per change, under load
+	changeCPU                    // µs per change
+	changeBytes                  // B per change
+	snapshotCPU                  // µs per snapshot
+	snapshotBytes                // B per snapshot
+	restartTime                  // ms
+	restartCPU                   // ms
+	restartBytes                 // kB
+	metricCount
 )
 
-// point is what is measured at one list size.
+// point holds the measurements at one list size.
 type point struct {
 	size          int
-	calls, failed int // of the calls while in use
-	samples       [metrics][]float64
+	calls, failed int // calls made while in use, and how many of them failed
+	samples       [metricCount][]float64
 }
 
 func (p *point) add(m metric, value float64) { p.samples[m] = append(p.samples[m], value) }
@@ -51,8 +51,9 @@
 func microseconds(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// measureAll measures all list sizes. Their proxies run at the same time and are measured in turn, in rounds up and
-// down, so that changes of the machine's speed do not bend the lines.
+// measureAll measures all list sizes. Their proxies run at the same time and are measured one after the other, in
+// rounds of alternately increasing and decreasing size, so that a drift in the machine's speed does not distort the
+// fitted lines.
 func measureAll(ctx context.Context, env scale.Env, p plan, m mode, cores []int) ([]*point, error) {
 	var subjects []*subject
 	defer func() {
@@ -67,17 +68,17 @@
 		}
 		subjects = append(subjects, s)
 	}
-	env.Progress("%s: restarts", m.name)
+	env.Progress("%s: measuring restarts", m.name)
 	restart := func(s *subject) error { return s.measureRestart(ctx) }
 	if err := forEachAlternating(subjects, p.starts, restart); err != nil {
 		return nil, fmt.Errorf("restart: %w", err)
 	}
-	env.Progress("%s: idle", m.name)
+	env.Progress("%s: measuring idle proxies", m.name)
 	if err := measureIdle(ctx, p, subjects); err != nil {
 		return nil, fmt.Errorf("idle: %w", err)
 	}
 	err := forEachAlternating(subjects, p.rounds, func(s *subject) error {
-		env.Progress("%s: changes and calls with %d backends listed", m.name, s.point.size)
+		env.Progress("%s: measuring changes and calls with %d backends listed", m.name, s.point.size)
 		return errors.Join(s.measureLists(ctx), s.measureInUse(ctx))
 	})
 	points := make([]*point, len(subjects))
@@ -87,7 +88,7 @@
 	return points, err
 }
 
-// forEachAlternating calls work for each subject in several rounds, every other one in reverse order.
+// forEachAlternating calls work for each subject in several rounds. Every other round runs in reverse order.
 func forEachAlternating(subjects []*subject, rounds int, work func(*subject) error) error {
 	for round := range rounds {
 		for i := range subjects {
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// measureRestart measures a restart of the proxy.
+// measureRestart starts or restarts the proxy and records the time and the cost until it is ready.
 func (s *subject) measureRestart(ctx context.Context) error {
 	ready, used, err := s.start(ctx)
 	if err != nil {
@@ -114,16 +115,16 @@
 	return nil
 }
 
-// measureIdle measures all proxies while they are idle.
+// measureIdle measures all proxies at the same time while they are idle.
 func measureIdle(ctx context.Context, p plan, subjects []*subject) error {
 	last := subjects[len(subjects)-1]
 	if err := last.wait(ctx, p.settle); err != nil {
 		return err
 	}
-	begins := make([]checkpoint, len(subjects))
+	checkpoints := make([]checkpoint, len(subjects))
 	var err error
 	for i, s := range subjects {
-		if begins[i], err = s.begin(); err != nil {
+		if checkpoints[i], err = s.beginMeasurement(); err != nil {
 			return err
 		}
 	}
@@ -131,7 +132,7 @@
 		return err
 	}
 	for i, s := range subjects {
-		if s.idle, err = s.costSince(begins[i]); err != nil {
+		if s.idle, err = s.costSince(checkpoints[i]); err != nil {
 			return err
 		}
 		cpu, bytes := s.idle.perSecond()
@@ -151,7 +152,7 @@
 	return err
 }
 
-// measureLists measures single changes and snapshots, less the cost of an idle proxy.
+// measureLists measures single changes and snapshots. It subtracts the cost of an idle proxy.
 func (s *subject) measureLists(ctx context.Context) error {
 	used, err := s.costOf(func() error { return s.publishChanges(ctx) })
 	if err != nil {
@@ -171,7 +172,7 @@
 	return nil
 }
 
-// measureInUse measures calls, and then changes while there are calls.
+// measureInUse measures calls alone, and then changes under load.
 func (s *subject) measureInUse(ctx context.Context) error {
 	client := traffic.NewClient(s.proxy.Address)
 	defer client.Close()
@@ -183,12 +184,12 @@
 		return fmt.Errorf("calls: %w", err)
 	}
 	if err := s.measureChangesInUse(ctx, client, perCall); err != nil {
-		return fmt.Errorf("changes in use: %w", err)
+		return fmt.Errorf("changes under load: %w", err)
 	}
 	return nil
 }
 
-// measureCalls measures calls alone, and returns the CPU time of one.
+// measureCalls measures calls alone and returns the CPU time per call.
 func (s *subject) measureCalls(ctx context.Context, client *traffic.Client) (time.Duration, error) {
 	var calls, failed int
 	used, err := s.costOf(func() (err error) {
@@ -199,45 +200,45 @@
 		return 0, err
 	}
 	if calls == failed {
-		return 0, fmt.Errorf("none of %d was served", calls)
+		return 0, fmt.Errorf("none of %d calls was served", calls)
 	}
 	s.point.calls += calls
 	s.point.failed += failed
 	cpu, bytes := used.perSecond()
 	perCall := used.minus(s.idle).cpu / time.Duration(calls)
-	s.point.add(useCPU, microseconds(cpu))
-	s.point.add(useBytes, bytes)
+	s.point.add(inUseCPU, microseconds(cpu))
+	s.point.add(inUseBytes, bytes)
 	s.point.add(callCPU, microseconds(perCall))
-	return perCall, s.addMemory(useMemory)
+	return perCall, s.addMemory(inUseMemory)
 }
 
-// measureChangesInUse measures changes while there are calls, less the cost of the calls.
+// measureChangesInUse measures changes under load. It subtracts the cost of an idle proxy and of the calls.
 func (s *subject) measureChangesInUse(ctx context.Context, client *traffic.Client, perCall time.Duration) error {
 	loadCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	type made struct {
+	type loadResult struct {
 		calls int
 		err   error
 	}
-	loaded := make(chan made, 1)
-	var load made
+	results := make(chan loadResult, 1)
+	var result loadResult
 	used, err := s.costOf(func() error {
 		go func() {
 			calls, _, err := s.load(loadCtx, client, time.Hour)
-			loaded <- made{calls, err}
+			results <- loadResult{calls, err}
 		}()
 		err := s.publishChanges(ctx)
 		stop()
-		load = <-loaded
+		result = <-results
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	if !errors.Is(load.err, context.Canceled) { // the cancellation is intended
-		return load.err
+	if !errors.Is(result.err, context.Canceled) { // stop cancels the load, so this error is expected
+		return result.err
 	}
-	cpu := used.minus(s.idle).cpu - perCall*time.Duration(load.calls)
-	s.point.add(useChangeCPU, microseconds(cpu)/float64(s.plan.changes))
+	cpu := used.minus(s.idle).cpu - perCall*time.Duration(result.calls)
+	s.point.add(inUseChangeCPU, microseconds(cpu)/float64(s.plan.changes))
 	return nil
 }
--- a/internal/scale/slopes/slopes.go
+++ b/internal/scale/slopes/slopes.go
@@ -1,5 +1,5 @@
 // Package slopes measures the cost of control for one real proxy as its endpoint list grows: memory, CPU time and
-// bytes, idle and in use, at four list sizes, and the line through them.
+// discovery traffic, idle and under load, at four list sizes, and a line fitted to them.
 package slopes
 
 import (
@@ -10,27 +10,27 @@
 	"baylock/internal/scale"
 )
 
-// Experiment is the experiment.
+// Experiment is the "slopes" experiment.
 var Experiment = scale.Experiment{
 	Name:       "slopes",
-	Summary:    "memory, processor time and bytes of one real proxy as its list grows, idle and in use",
+	Summary:    "memory, CPU time and discovery traffic of one real proxy as its endpoint list grows, idle and in use",
 	NeedsProxy: true,
 	Run:        run,
 }
 
-// plan is the extent of a run.
+// plan configures the extent of a run.
 type plan struct {
-	sizes          []int         // of the list
-	starts         int           // of the proxy, for the cost of a restart
-	settle         time.Duration // before an idle measurement
-	idle           time.Duration
-	rounds         int           // of the measurements in use
-	changes        int           // single changes of the list
-	changeInterval time.Duration // between two of them
-	snapshots      int           // responses with the complete list
-	warmUp         time.Duration // of calls, before they are measured
+	sizes          []int         // of the endpoint list
+	starts         int           // number of proxy starts, to measure the cost of a restart
+	settle         time.Duration // pause before the idle measurement
+	idle           time.Duration // duration of the idle measurement
+	rounds         int           // of the measurements of changes, snapshots and calls
+	changes        int           // single changes to the list, per measurement
+	changeInterval time.Duration // time between two changes
+	snapshots      int           // number of snapshots (responses with the complete list), per measurement
+	warmUp         time.Duration // duration of the calls that precede the measured ones
 	inUse          time.Duration // duration of the measured calls
-	rate           float64       // calls a second
+	rate           float64       // calls per second
 }
 
 func fullPlan() plan {
@@ -45,7 +45,7 @@
 		inUse: 500 * time.Millisecond, rate: 134}
 }
 
-// mode is a way in which the proxy gets its endpoint list.
+// mode is a way in which the proxy receives updates of its endpoint list.
 type mode struct {
 	name       string
 	membership string
@@ -63,7 +63,7 @@
 	})
 }
 
-// measureOn measures with the proxies on the given cores.
+// measureOn runs the experiment with the proxies on the given cores.
 func measureOn(ctx context.Context, env scale.Env, p plan, cores []int) (result scale.Result, err error) {
 	for _, m := range modes() {
 		points, err := measureAll(ctx, env, p, m, cores)
@@ -82,14 +82,16 @@
 
 func notes(p plan, proxyCores, allCores []int) []string {
 	list := []string{
-		fmt.Sprintf("The proxies, one for each size with limits of 1 core, 192 MB and 1,024 descriptors, ran on core %v, one "+
-			"in use at a time; the tool with discovery, clients and backends on the others of %v.", proxyCores, allCores),
-		"Bytes are those of discovery's application, headers included, in both directions; TCP and IP come on top. " +
-			"The emulated service's entries are as long as the real ones, without their type.",
-		fmt.Sprintf("Medians of %d starts, and of %d rounds over all sizes, each with %d single changes, %v apart (a backend "+
-			"drains and returns), %d whole lists, and %g calls/s (Poisson) for %v after %v of them. Idle time is one period "+
-			"of %v.", p.starts, p.rounds, p.changes, p.changeInterval, p.snapshots, p.rate, p.inUse, p.warmUp, p.idle),
-		"Memory is all resident memory, that of the program itself and of calls included; control is a part of it. " +
+		fmt.Sprintf("The proxies, one per list size with limits of 1 core, 192 MB and 1,024 descriptors, ran on core %v, "+
+			"one in use at a time. The tool with discovery, clients and backends ran on the other cores of %v.",
+			proxyCores, allCores),
+		"Bytes are those of the discovery protocol at the application layer, in both directions, headers included; TCP and " +
+			"IP overhead is not counted. Entries of the emulated service are as long as the real ones without their type.",
+		fmt.Sprintf("Values are medians of %d starts, and of %d rounds over all sizes, each with %d single changes, %v apart "+
+			"(a backend drains and returns), %d complete lists, and %g calls/s (Poisson) for %v after a warm-up of %v. The "+
+			"idle proxies were measured once, for %v.",
+			p.starts, p.rounds, p.changes, p.changeInterval, p.snapshots, p.rate, p.inUse, p.warmUp, p.idle),
+		"Memory is all resident memory, including that of the program itself and of calls; control uses a part of it. " +
 			"1 MB is a million bytes.",
 		"All endpoints of a list have the address of one server in the tool, which responds at once.",
 	}
--- a/internal/scale/slopes/slopes_test.go
+++ b/internal/scale/slopes/slopes_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) { os.Exit(scaletest.Main(m)) }
 
-// shortPlan makes few calls, as a busy machine may fail one of many.
+// shortPlan makes few calls, because on a busy machine one of many calls may fail.
 func shortPlan() plan {
 	p := smallPlan()
 	p.sizes, p.rate, p.rounds, p.changes, p.snapshots = []int{10, 20}, 20, 2, 6, 2
@@ -29,41 +29,43 @@
 				t.Fatal(err)
 			}
 			if len(points) != len(p.sizes) {
-				t.Fatalf("%d points, want %d", len(points), len(p.sizes))
+				t.Fatalf("got %d points, want %d", len(points), len(p.sizes))
 			}
 			for i, at := range points {
 				if at.size != p.sizes[i] || at.calls == 0 {
-					t.Errorf("point %d is of size %d with %d calls", i, at.size, at.calls)
+					t.Errorf("point %d has size %d and %d calls", i, at.size, at.calls)
 				}
 				checkSamples(t, p, at)
 			}
 			if n := env.Budget.Processes(); n != 0 {
-				t.Errorf("%d processes still run", n)
+				t.Errorf("%d processes are still running", n)
 			}
 		})
 	}
 }
 
-// checkSamples checks the number of samples, and the values that are positive on any machine.
-func checkSamples(t *testing.T, p plan, at *point) {
+// checkSamples checks the number of samples of each metric, and that the values that are positive on any machine are.
+func checkSamples(t *testing.T, p plan, measured *point) {
 	t.Helper()
 	counts := map[metric]int{restartTime: p.starts, restartCPU: p.starts, restartBytes: p.starts,
 		idleMemory: 1, idleCPU: 1, idleBytes: 1}
-	mayBeNone := []metric{idleCPU, idleBytes, useBytes, useChangeCPU, changeCPU, snapshotCPU} // or negative, as other costs are subtracted
-	for m := range metrics {
+	// These may be zero, or negative because other costs are subtracted from some of them.
+	mayBeNonPositive := []metric{idleCPU, idleBytes, inUseBytes, inUseChangeCPU, changeCPU, snapshotCPU}
+	for m := range metricCount {
 		want, ok := counts[m]
 		if !ok {
 			want = p.rounds
 		}
-		if len(at.samples[m]) != want {
-			t.Errorf("size %d, metric %d: %d samples, want %d", at.size, m, len(at.samples[m]), want)
+		if len(measured.samples[m]) != want {
+			t.Errorf("size %d, metric %d: %d samples, want %d", measured.size, m, len(measured.samples[m]), want)
 		}
-		if value := at.value(m); !(value > 0) && !slices.Contains(mayBeNone, m) {
-			t.Errorf("size %d, metric %d: %v", at.size, m, value)
+		if value := measured.value(m); !(value > 0) && !slices.Contains(mayBeNonPositive, m) {
+			t.Errorf("size %d, metric %d: value %v is not positive", measured.size, m, value)
 		}
 	}
-	if at.value(snapshotBytes) <= at.value(changeBytes) {
-		t.Errorf("size %d: %v bytes for a whole list, %v for a change", at.size, at.value(snapshotBytes), at.value(changeBytes))
+	if measured.value(snapshotBytes) <= measured.value(changeBytes) {
+		t.Errorf("size %d: a snapshot takes %v bytes, a change %v; want more for the snapshot",
+			measured.size, measured.value(snapshotBytes), measured.value(changeBytes))
 	}
 }
 
@@ -78,7 +80,7 @@
 		return nil
 	})
 	if want := []int{0, 1, 2, 2, 1, 0, 0, 1, 2}; err != nil || !slices.Equal(order, want) {
-		t.Errorf("order %v, %v", order, err)
+		t.Errorf("got order %v, error %v", order, err)
 	}
 }
 
@@ -88,7 +90,7 @@
 	var points []*point
 	for _, size := range []int{33, 100, 330, 970} {
 		p := &point{size: size}
-		for _, noise := range []float64{0, -1, 5} { // the median has no noise
+		for _, noise := range []float64{0, -1, 5} { // the median has zero noise
 			p.add(idleMemory, 10+0.004*float64(size)+noise)
 			p.add(idleBytes, 6000+noise)
 		}
@@ -99,7 +101,7 @@
 		t.Fatal(err)
 	}
 	if want := len(quantities())*(len(points)+2) + len(points); len(figures) != want {
-		t.Errorf("%d figures, want %d", len(figures), want)
+		t.Errorf("got %d figures, want %d", len(figures), want)
 	}
 	for _, want := range []scale.Figure{
 		{Case: "pushed, idle, 970 listed", Quantity: "memory", Unit: "MB", Value: 13.88, Target: scale.Target(32)},
@@ -111,7 +113,7 @@
 			return f.Case == want.Case && f.Quantity == want.Quantity
 		})
 		if at < 0 {
-			t.Errorf("no figure %s, %s", want.Case, want.Quantity)
+			t.Errorf("figure not found: %s, %s", want.Case, want.Quantity)
 			continue
 		}
 		got := figures[at]
--- a/internal/scale/slopes/subject.go
+++ b/internal/scale/slopes/subject.go
@@ -18,13 +18,14 @@
 const (
 	listName = "tier"
 	region   = "region-1"
-	// Beyond this number of changes, the discovery service responds with a snapshot.
-	logLimit    = 8
-	callTimeout = 2000 // in milliseconds
-	seedStride  = 1 << 20
+	// A proxy that is more changes than this behind receives a snapshot from the discovery service.
+	logLimit      = 8
+	callTimeoutMs = 2000
+	// The random stream of the discovery service. Each subject uses the stream numbered like its list size.
+	registryStream = 1 << 20
 )
 
-// subject is one proxy, with its backend and discovery service.
+// subject is one measured proxy, with a backend and a discovery service of its own.
 type subject struct {
 	env       scale.Env
 	plan      plan
@@ -33,10 +34,10 @@
 	endpoints []discovery.Endpoint
 	config    scale.ProxyConfig
 	proxy     *scale.Proxy
-	applied   *watermark
+	applied   *watermark // of the change numbers that the proxy has applied
 	random    *rand.Rand
-	idle      cost  // while nothing happens
-	point     point // its measurements
+	idle      cost  // while the proxy is idle
+	point     point // measurements of the proxy
 }
 
 func newSubject(env scale.Env, p plan, m mode, size int, cores []int) (*subject, error) {
@@ -50,22 +51,23 @@
 	s.endpoints = s.backend.Endpoints(size, scale.DefaultZones())
 	s.registry, err = registry.New(registry.Config{Poll: m.membership == scale.Polled, LogLimit: logLimit,
 		Replicas:  []registry.ReplicaConfig{{Name: "replica-1", Zone: zone, Region: region}},
-		Random:    rand.New(rand.NewPCG(env.Seed, seedStride)),
+		Random:    rand.New(rand.NewPCG(env.Seed, registryStream)),
 		OnRequest: func(o registry.Observation) { s.applied.raise(o.Complete) }})
 	if err != nil {
 		s.backend.Close()
 		return nil, err
 	}
 	location := registry.Location{Name: fmt.Sprintf("proxy-%d", size), Zone: zone, Region: region}
-	if err := s.listen(m, cores, location); err != nil {
+	if err := s.setUpDiscovery(m, cores, location); err != nil {
 		s.close()
 		return nil, err
 	}
 	return s, nil
 }
 
-// listen publishes the endpoint list and opens the proxy's address of the discovery service.
-func (s *subject) listen(m mode, cores []int, at registry.Location) error {
+// setUpDiscovery publishes the endpoint list, makes the discovery service listen for the proxy and sets the proxy's
+// configuration.
+func (s *subject) setUpDiscovery(m mode, cores []int, at registry.Location) error {
 	if _, err := s.registry.Publish(listName, region, s.endpoints...); err != nil {
 		return err
 	}
@@ -83,20 +85,20 @@
 	s.backend.Close()
 }
 
-// cost is the proxy's resource usage over some time.
+// cost is the proxy's resource usage during a period.
 type cost struct {
 	elapsed time.Duration
 	cpu     time.Duration
-	bytes   int64 // between the proxy and the discovery service
+	bytes   int64 // exchanged between the proxy and the discovery service
 }
 
-// perSecond returns the cost of one second.
+// perSecond returns the mean CPU time and bytes per second.
 func (c cost) perSecond() (cpu time.Duration, bytes float64) {
 	seconds := c.elapsed.Seconds()
 	return time.Duration(float64(c.cpu) / seconds), float64(c.bytes) / seconds
 }
 
-// minus subtracts another cost, scaled to the same time.
+// minus subtracts another cost, scaled to the duration of c.
 func (c cost) minus(base cost) cost {
 	cpu, bytes := base.perSecond()
 	c.cpu -= time.Duration(float64(cpu) * c.elapsed.Seconds())
@@ -104,38 +106,40 @@
 	return c
 }
 
-// checkpoint is the start of a measurement.
+// checkpoint holds the time and the proxy's usage at the start of a measurement.
 type checkpoint struct {
 	at    time.Time
 	usage scale.Usage
 }
 
-func (s *subject) begin() (checkpoint, error) {
+// beginMeasurement returns a checkpoint and resets the count of discovery bytes.
+func (s *subject) beginMeasurement() (checkpoint, error) {
 	usage, err := s.proxy.Usage()
 	s.discoveryBytes()
 	return checkpoint{at: time.Now(), usage: usage}, err
 }
 
-// costSince returns the cost since the last call of begin.
-func (s *subject) costSince(m checkpoint) (cost, error) {
-	took := time.Since(m.at)
+// costSince returns the cost since a checkpoint, which must be that of the last call of beginMeasurement.
+func (s *subject) costSince(start checkpoint) (cost, error) {
+	took := time.Since(start.at)
 	usage, err := s.proxy.Usage()
-	return cost{elapsed: took, cpu: usage.Minus(m.usage).CPU, bytes: s.discoveryBytes()}, err
+	return cost{elapsed: took, cpu: usage.Minus(start.usage).CPU, bytes: s.discoveryBytes()}, err
 }
 
-// costOf measures the cost while work runs.
+// costOf runs work and returns the cost during that time.
 func (s *subject) costOf(work func() error) (cost, error) {
-	m, err := s.begin()
+	start, err := s.beginMeasurement()
 	if err != nil {
 		return cost{}, err
 	}
 	if err := work(); err != nil {
 		return cost{}, err
 	}
-	return s.costSince(m)
+	return s.costSince(start)
 }
 
-// discoveryBytes returns the bytes between the proxy and the discovery service since its previous call.
+// discoveryBytes returns the number of bytes that the proxy and the discovery service have exchanged since the
+// previous call of discoveryBytes.
 func (s *subject) discoveryBytes() int64 {
 	total := int64(0)
 	for _, usage := range s.registry.Usage() {
@@ -144,7 +148,7 @@
 	return total
 }
 
-// wait waits for a while.
+// wait waits for the given duration. It fails if the proxy or the context ends first.
 func (s *subject) wait(ctx context.Context, length time.Duration) error {
 	select {
 	case <-time.After(length):
@@ -156,7 +160,7 @@
 	}
 }
 
-// start starts the proxy, after stopping a running one, and returns the time and the cost until it is ready.
+// start starts the proxy, after killing it if it runs, and returns the time and the cost until it is ready.
 func (s *subject) start(ctx context.Context) (ready time.Duration, used cost, err error) {
 	if s.proxy != nil {
 		s.proxy.Kill()
@@ -169,7 +173,8 @@
 	return s.proxy.ReadyAfter, cost{cpu: usage.CPU, bytes: s.discoveryBytes()}, err
 }
 
-// publishChanges publishes single changes one after the other: a backend drains and returns, then the next one does.
+// publishChanges publishes single changes one after the other, and waits until the proxy has applied them: one
+// backend drains and returns to service, then the next one does.
 func (s *subject) publishChanges(ctx context.Context) error {
 	last := int64(0)
 	for i := range s.plan.changes {
@@ -189,7 +194,8 @@
 	return s.applied.wait(ctx, last)
 }
 
-// requestSnapshots makes the proxy get several snapshots.
+// requestSnapshots makes the proxy receive several snapshots, by publishing more changes at once than the log of the
+// discovery service holds.
 func (s *subject) requestSnapshots(ctx context.Context) error {
 	for range s.plan.snapshots {
 		change, err := s.registry.Publish(listName, region, s.endpoints[:logLimit+1]...)
@@ -203,7 +209,7 @@
 	return nil
 }
 
-// load generates calls through the proxy, and returns their number and how many of them failed.
+// load generates calls through the proxy. It returns the number of calls and how many of them failed.
 func (s *subject) load(
 	ctx context.Context, client *traffic.Client, length time.Duration,
 ) (calls, failed int, err error) {
@@ -214,7 +220,7 @@
 			ID:        prefix + strconv.Itoa(number),
 			Class:     scale.ReadClass,
 			Tenant:    scale.TenantA,
-			TimeoutMs: callTimeout,
+			TimeoutMs: callTimeoutMs,
 		})
 		if err != nil {
 			failures.Add(1)
--- a/internal/scale/slopes/watermark.go
+++ b/internal/scale/slopes/watermark.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// appliedTimeout is the time for the proxy to apply a published change.
+// appliedTimeout is the maximum time that the proxy may take to apply a published change.
 const appliedTimeout = 10 * time.Second
 
-// watermark is the highest number of a change that the proxy has applied.
+// watermark tracks the number of the latest change up to which the proxy has applied all changes.
 type watermark struct {
 	number  atomic.Int64
-	changed chan struct{} // has an element after each rise
+	changed chan struct{} // receives an element after each increase; buffers one
 }
 
 func newWatermark() *watermark { return &watermark{changed: make(chan struct{}, 1)} }
 
-// raise raises the watermark to a number, if that is higher.
+// raise sets the watermark to a number if that is higher than the current one.
 func (w *watermark) raise(number int64) {
 	for {
 		old := w.number.Load()
@@ -35,14 +35,14 @@
 	}
 }
 
-// wait waits until the watermark reaches a number. One goroutine may wait at a time.
+// wait waits until the watermark reaches a number. Only one goroutine may wait at a time.
 func (w *watermark) wait(ctx context.Context, number int64) error {
-	late := time.NewTimer(appliedTimeout)
-	defer late.Stop()
+	timeout := time.NewTimer(appliedTimeout)
+	defer timeout.Stop()
 	for w.number.Load() < number {
 		select {
 		case <-w.changed:
-		case <-late.C:
+		case <-timeout.C:
 			return fmt.Errorf("the proxy did not apply change %d within %v", number, appliedTimeout)
 		case <-ctx.Done():
 			return context.Cause(ctx)
