--- a/internal/scale/latency/chain.go
+++ b/internal/scale/latency/chain.go
@@ -13,25 +13,26 @@
 
 const region = "region-1"
 
-// chain is a sequence of tiers, each with a backend that calls the next one. Clients call the first tier.
+// chain is a sequence of tiers, each with a backend that calls the next tier. The load generator calls the
+// first tier.
 type chain struct {
-	client   *traffic.Client   // of the first tier
-	clients  []*traffic.Client // of every tier
-	backends []*traffic.Backend
-	proxies  []*scale.Proxy // none in a direct chain
-	registry *registry.Service
+	client   *traffic.Client    // calls the first tier
+	clients  []*traffic.Client  // of all tiers, the last tier first
+	backends []*traffic.Backend // of all tiers, the last tier first
+	proxies  []*scale.Proxy     // of all tiers, the last tier first; none in a direct chain
+	registry *registry.Service  // nil in a direct chain
 }
 
 // chainBuilder builds chains.
 type chainBuilder struct {
 	env      scale.Env
 	depth    int
-	listSize int
-	cores    []int // of the proxies
+	listSize int   // number of endpoints on each list
+	cores    []int // that the proxies may use
 }
 
-// direct builds a chain without proxies.
-func (b chainBuilder) direct() (*chain, error) {
+// buildDirect builds a chain without proxies.
+func (b chainBuilder) buildDirect() (*chain, error) {
 	c := &chain{}
 	for range b.depth {
 		backend, err := traffic.StartBackend(c.client, b.env.Log)
@@ -45,8 +46,8 @@
 	return c, nil
 }
 
-// proxied builds a chain in which each tier is called through a proxy.
-func (b chainBuilder) proxied(ctx context.Context) (*chain, error) {
+// buildProxied builds a chain in which each tier is called through a proxy.
+func (b chainBuilder) buildProxied(ctx context.Context) (*chain, error) {
 	c := &chain{}
 	var err error
 	c.registry, err = registry.New(registry.Config{Random: rand.New(rand.NewPCG(b.env.Seed, 0)),
@@ -63,7 +64,7 @@
 	return c, nil
 }
 
-// addTier adds a tier in front of a chain.
+// addTier adds a tier with its proxy in front of the chain.
 func (b chainBuilder) addTier(ctx context.Context, c *chain, tier int) error {
 	backend, err := traffic.StartBackend(c.client, b.env.Log)
 	if err != nil {
@@ -91,13 +92,13 @@
 	return nil
 }
 
-// prepend makes the chain's client call an address.
+// prepend makes the address that of the first tier, which the chain's client calls.
 func (c *chain) prepend(address string) {
 	c.client = traffic.NewClient(address)
 	c.clients = append(c.clients, c.client)
 }
 
-// cpu returns the CPU time that the proxies have used.
+// cpu returns the total CPU time that the proxies have used.
 func (c *chain) cpu() (time.Duration, error) {
 	total := time.Duration(0)
 	for _, proxy := range c.proxies {
--- a/internal/scale/latency/latency_test.go
+++ b/internal/scale/latency/latency_test.go
@@ -15,13 +15,14 @@
 
 func TestMain(m *testing.M) { os.Exit(scaletest.Main(m)) }
 
-// arrivals returns the number of calls in the blocks of a stage, direct or through the proxies.
-func arrivals(env scale.Env, p plan, s stage) int64 {
+// expectedCalls returns the number of direct calls in the blocks of a stage, which is also that of calls through the
+// proxies.
+func expectedCalls(env scale.Env, p plan, s stage) int64 {
 	total := int64(0)
 	for block := range s.blocks {
 		random := rand.New(rand.NewPCG(env.Seed, uint64(block)))
 		for at := 0.0; ; total++ {
-			if at += random.ExpFloat64() / s.rate; at >= p.block.Seconds() {
+			if at += random.ExpFloat64() / s.rate; at >= p.blockDuration.Seconds() {
 				break
 			}
 		}
@@ -38,17 +39,17 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			want := arrivals(env, p, s)
-			for way, got := range map[string]*callTimes{"direct": measured.direct, "through": measured.through} {
+			want := expectedCalls(env, p, s)
+			for path, got := range map[string]*callTimes{"direct": measured.direct, "through": measured.proxied} {
 				if n := got.calls.TotalCount() + int64(got.failed); n != want || got.lateness.TotalCount() != want {
-					t.Errorf("%s: %d calls counted, %d started, want %d", way, n, got.lateness.TotalCount(), want)
+					t.Errorf("%s: %d calls counted, %d started, want %d", path, n, got.lateness.TotalCount(), want)
 				}
 			}
 			if !(measured.proxyCores > 0) {
 				t.Errorf("the proxies used %v cores", measured.proxyCores)
 			}
 			if n := env.Budget.Processes(); n != 0 {
-				t.Errorf("%d processes still run", n)
+				t.Errorf("%d processes are still running", n)
 			}
 		})
 	}
@@ -57,34 +58,35 @@
 func TestProxiedChainCallsPassEveryProxy(t *testing.T) {
 	const depth = 3
 	b := chainBuilder{env: scaletest.Env(t), depth: depth, listSize: 2}
-	c, err := b.proxied(t.Context())
+	c, err := b.buildProxied(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.close()
-	into := newTimes()
-	l := loadGenerator{env: b.env, stage: stage{depth: depth, rate: 20}, client: c.client, times: into}
+	recorded := newCallTimes()
+	l := loadGenerator{env: b.env, stage: stage{depth: depth, rate: 20}, client: c.client, times: recorded}
 	if err := l.runBlock(t.Context(), 0, 200*time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
 	if len(c.proxies) != depth || len(c.backends) != depth {
-		t.Fatalf("%d proxies, %d backends", len(c.proxies), len(c.backends))
+		t.Fatalf("got %d proxies, %d backends", len(c.proxies), len(c.backends))
 	}
 	for tier, backend := range c.backends {
-		if backend.Calls() < into.calls.TotalCount() || backend.Calls() == 0 {
-			t.Errorf("backend %d: %d calls arrived of %d that were served", tier, backend.Calls(), into.calls.TotalCount())
+		if backend.Calls() < recorded.calls.TotalCount() || backend.Calls() == 0 {
+			t.Errorf("backend %d: received %d calls, but %d were served",
+				tier, backend.Calls(), recorded.calls.TotalCount())
 		}
 	}
 	for tier, proxy := range c.proxies {
 		if usage, err := proxy.Usage(); err != nil || usage.ReadBytes == 0 {
-			t.Errorf("proxy %d: %+v, %v", tier, usage, err)
+			t.Errorf("proxy %d: got usage %+v, error %v", tier, usage, err)
 		}
 	}
 }
 
 func TestRunEndsWithContext(t *testing.T) { scaletest.CheckCancelledRun(t, Experiment, "") }
 
-// fill records 1,000 calls with increasing durations.
+// fill records 1,000 served calls, the first with duration least and each further one longer by step.
 func fill(t *callTimes, least, step time.Duration) {
 	start := time.Unix(0, 0)
 	for i := range 1000 {
@@ -93,10 +95,10 @@
 }
 
 func TestFiguresAddedIsDifferenceOfPercentiles(t *testing.T) {
-	m := &measurement{direct: newTimes(), through: newTimes(), proxyCores: 0.5}
+	m := &measurement{direct: newCallTimes(), proxied: newCallTimes(), proxyCores: 0.5}
 	fill(m.direct, time.Millisecond, 0)
-	fill(m.through, 3*time.Millisecond, time.Microsecond) // 3 to 4 ms
-	m.through.record(time.Unix(0, 0), time.Unix(0, 0), time.Unix(1, 0), errors.New("not served"))
+	fill(m.proxied, 3*time.Millisecond, time.Microsecond) // 3 to 4 ms
+	m.proxied.record(time.Unix(0, 0), time.Unix(0, 0), time.Unix(1, 0), errors.New("not served"))
 	figures := figuresOf(stage{depth: 2, rate: 10}, m)
 	for _, want := range []scale.Figure{
 		{Quantity: "time of a call, direct, median", Value: 1, Samples: 1000},
@@ -110,7 +112,7 @@
 	} {
 		at := slices.IndexFunc(figures, func(f scale.Figure) bool { return f.Quantity == want.Quantity })
 		if at < 0 {
-			t.Errorf("no figure %s", want.Quantity)
+			t.Errorf("figure not found: %s", want.Quantity)
 			continue
 		}
 		got := figures[at]
@@ -119,12 +121,12 @@
 			t.Errorf("got %+v, want %+v", got, want)
 		}
 	}
-	if got := (stage{depth: 13, rate: 10}).multiple(m); math.Abs(got.Value-13*2.99) > 0.1 || got.Samples != 1000 {
+	if got := (stage{depth: 13, rate: 10}).extrapolate(m); math.Abs(got.Value-13*2.99) > 0.1 || got.Samples != 1000 {
 		t.Errorf("13 proxies: got %+v", got)
 	}
-	unserved := newTimes()
+	unserved := newCallTimes()
 	unserved.record(time.Unix(0, 0), time.Unix(0, 0), time.Unix(1, 0), errLost)
-	if err := unserved.check(); !errors.Is(err, errLost) {
+	if err := unserved.checkServed(); !errors.Is(err, errLost) {
 		t.Errorf("no served call: got %v", err)
 	}
 }
--- a/internal/scale/latency/measure.go
+++ b/internal/scale/latency/measure.go
@@ -16,30 +16,30 @@
 )
 
 const (
-	callTimeout = 2000 // in milliseconds
-	// Durations are recorded in nanoseconds with three digits, up to twice the timeout.
+	callTimeoutMs = 2000
+	// Durations are recorded in nanoseconds with three significant digits, up to twice the timeout.
 	lowestTime        = 1
-	highestTime       = 2 * callTimeout * int64(time.Millisecond)
+	highestTime       = 2 * callTimeoutMs * int64(time.Millisecond)
 	significantDigits = 3
-	// The random stream of the warm-up, which no block uses.
+	// The first random stream of the warm-up. Blocks use streams from 0 on, so they never share one with it.
 	warmUpStream = 1 << 32
 )
 
 // callTimes records the durations of calls.
 type callTimes struct {
 	mu         sync.Mutex
-	calls      *hdrhistogram.Histogram // of served calls, from the intended start to the last byte
-	lateness   *hdrhistogram.Histogram // from the intended to the actual start, due to the load generator
+	calls      *hdrhistogram.Histogram // of served calls: time from the intended start to the last byte
+	lateness   *hdrhistogram.Histogram // of all calls: time by which the load generator started them late
 	failed     int
-	firstError error // of the first call that failed
+	firstError error // error of the first failed call
 }
 
-func newTimes() *callTimes {
+func newCallTimes() *callTimes {
 	return &callTimes{calls: hdrhistogram.New(lowestTime, highestTime, significantDigits),
 		lateness: hdrhistogram.New(lowestTime, highestTime, significantDigits)}
 }
 
-// record records one call.
+// record records one call that was served, or that failed with err.
 func (t *callTimes) record(intended, began, ended time.Time, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -53,69 +53,71 @@
 }
 
 func recordTime(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(int64(d), lowestTime), highestTime)) // the value is in range
+	_ = h.RecordValue(min(max(int64(d), lowestTime), highestTime)) // cannot fail, as the value is in range
 }
 
-// measurement is the result of a stage.
+// measurement holds the results of a stage.
 type measurement struct {
-	direct, through *callTimes
-	proxyCores      float64 // CPU time of the proxies, in cores, while calls came through them
+	direct, proxied *callTimes
+	proxyCores      float64 // mean CPU use of all proxies, in cores, during the calls through them
 }
 
-// measureStage measures one stage.
+// measureStage builds both chains, warms them up and measures one stage.
 func measureStage(ctx context.Context, env scale.Env, p plan, s stage, cores []int) (*measurement, error) {
 	b := chainBuilder{env: env, depth: s.depth, listSize: p.listSize, cores: cores}
-	direct, err := b.direct()
+	direct, err := b.buildDirect()
 	if err != nil {
 		return nil, err
 	}
 	defer direct.close()
-	through, err := b.proxied(ctx)
+	proxied, err := b.buildProxied(ctx)
 	if err != nil {
 		return nil, err
 	}
-	defer through.close()
-	for i, c := range []*chain{direct, through} {
-		l := loadGenerator{env: env, stage: s, client: c.client, times: newTimes()}
+	defer proxied.close()
+	for i, c := range []*chain{direct, proxied} {
+		l := loadGenerator{env: env, stage: s, client: c.client, times: newCallTimes()}
 		if err := l.runBlock(ctx, warmUpStream+i, p.warmUp); err != nil {
 			return nil, fmt.Errorf("warm-up: %w", err)
 		}
 	}
-	return alternate(ctx, env, p, s, direct, through)
+	return runAlternating(ctx, env, p, s, direct, proxied)
 }
 
-// alternate runs blocks of direct calls and of calls through the proxies in turn.
-func alternate(ctx context.Context, env scale.Env, p plan, s stage, direct, through *chain) (*measurement, error) {
-	m := &measurement{direct: newTimes(), through: newTimes()}
+// runAlternating runs blocks of direct calls and blocks of calls through the proxies alternately.
+func runAlternating(
+	ctx context.Context, env scale.Env, p plan, s stage, direct, proxied *chain,
+) (*measurement, error) {
+	m := &measurement{direct: newCallTimes(), proxied: newCallTimes()}
 	directLoad := loadGenerator{env: env, stage: s, client: direct.client, times: m.direct}
-	throughLoad := loadGenerator{env: env, stage: s, client: through.client, times: m.through}
+	proxiedLoad := loadGenerator{env: env, stage: s, client: proxied.client, times: m.proxied}
 	var cpu, elapsed time.Duration
 	for block := range s.blocks {
 		env.Progress("%s: block %d of %d", s.name(), block+1, s.blocks)
-		if err := directLoad.runBlock(ctx, block, p.block); err != nil {
+		if err := directLoad.runBlock(ctx, block, p.blockDuration); err != nil {
 			return nil, err
 		}
-		before, err := through.cpu()
+		before, err := proxied.cpu()
 		if err != nil {
 			return nil, err
 		}
 		began := time.Now()
-		if err := throughLoad.runBlock(ctx, block, p.block); err != nil {
+		if err := proxiedLoad.runBlock(ctx, block, p.blockDuration); err != nil {
 			return nil, err
 		}
 		elapsed += time.Since(began)
-		after, err := through.cpu()
+		after, err := proxied.cpu()
 		if err != nil {
 			return nil, err
 		}
 		cpu += after - before
 	}
 	m.proxyCores = cpu.Seconds() / elapsed.Seconds()
-	return m, errors.Join(m.direct.check(), m.through.check())
+	return m, errors.Join(m.direct.checkServed(), m.proxied.checkServed())
 }
 
-// check returns an error if no call was served.
-func (t *callTimes) check() error {
+// checkServed returns an error if no call was served.
+func (t *callTimes) checkServed() error {
 	if t.calls.TotalCount() > 0 {
 		return nil
 	}
@@ -130,13 +132,13 @@
 	times  *callTimes
 }
 
-// runBlock generates calls for a while. Blocks with the same number have the same arrivals.
+// runBlock generates calls for the given duration. Blocks with the same number have the same arrival times.
 func (l loadGenerator) runBlock(ctx context.Context, number int, length time.Duration) error {
 	random := rand.New(rand.NewPCG(l.env.Seed, uint64(number)))
 	_, err := traffic.OpenLoop(ctx, l.stage.rate, length, random, func(call int, intended time.Time) {
 		began := time.Now()
 		err := l.client.Call(traffic.Call{ID: fmt.Sprintf("b%d-%d", number, call), Class: scale.ReadClass,
-			Tenant: scale.TenantA, TimeoutMs: callTimeout})
+			Tenant: scale.TenantA, TimeoutMs: callTimeoutMs})
 		l.times.record(intended, began, time.Now(), err)
 	})
 	return err
--- a/internal/scale/ramp/ramp.go
+++ b/internal/scale/ramp/ramp.go
@@ -1,5 +1,5 @@
-// Package ramp measures the load that cold backends receive from all of their proxies, in proportion to what they can
-// sustain.
+// Package ramp measures the load that cold backends receive from all of their proxies during slow start, relative to
+// the load that they can sustain.
 package ramp
 
 import (
@@ -13,35 +13,35 @@
 	"baylock/internal/timing"
 )
 
-// Experiment is the experiment.
+// Experiment is the "ramp" experiment.
 var Experiment = scale.Experiment{
 	Name:    "ramp",
-	Summary: "load of cold backends in proportion to what they sustain, and calls served meanwhile",
+	Summary: "load of cold backends relative to what they can sustain, and calls served meanwhile",
 	Run:     run,
 }
 
-// size is the size of a service and the duration of a scenario's phases.
-type size struct {
+// plan configures the size of the service and the durations of the phases of a scenario.
+type plan struct {
 	backends int
-	warmUp   time.Duration // of the proxies, not measured
-	before   time.Duration // with all backends
-	outage   time.Duration // without the backends that restart
-	recovery time.Duration // from their restart
+	warmUp   time.Duration // not measured
+	before   time.Duration // all backends are up
+	outage   time.Duration // the backends that will restart are down
+	recovery time.Duration // from the restart of these backends on
 }
 
 var (
-	fullSize = size{backends: 30, warmUp: 4 * time.Second, before: 4 * time.Second, outage: 2 * time.Second,
+	fullPlan = plan{backends: 30, warmUp: 4 * time.Second, before: 4 * time.Second, outage: 2 * time.Second,
 		recovery: warmUp + 2*time.Second}
-	smallSize = size{backends: 10, warmUp: time.Second, before: time.Second, outage: time.Second,
+	smallPlan = plan{backends: 10, warmUp: time.Second, before: time.Second, outage: time.Second,
 		recovery: 2 * time.Second}
 )
 
-// scenario is one scenario of the experiment.
+// scenario configures one scenario of the experiment.
 type scenario struct {
-	callers        int
-	coldZone       bool // a whole zone restarts, not one backend
-	overloadFactor float64
-	load           float64 // as a fraction of the capacity of all warm backends
+	proxies        int
+	coldZone       bool    // whether all backends of a zone restart, not only one backend
+	overloadFactor float64 // multiple of its current capacity that a cold backend sustains
+	load           float64 // as a fraction of the total capacity of all backends when warm
 }
 
 func (c scenario) String() string {
@@ -50,131 +50,133 @@
 		cold = "a cold zone"
 	}
 	return fmt.Sprintf("%d callers, %s, load %.0f%%, falls at %.1f times its capacity",
-		c.callers, cold, 100*c.load, c.overloadFactor)
+		c.proxies, cold, 100*c.load, c.overloadFactor)
 }
 
 var scenarios = []scenario{
-	{callers: 33, load: 0.6, overloadFactor: 3},
-	{callers: 100, load: 0.6, overloadFactor: 3},
-	{callers: 33, coldZone: true, load: 0.6, overloadFactor: 3},
-	{callers: 100, coldZone: true, load: 0.6, overloadFactor: 3},
-	{callers: 33, load: 0.8, overloadFactor: 1.5},
-	{callers: 100, load: 0.8, overloadFactor: 1.5},
-	{callers: 33, coldZone: true, load: 0.8, overloadFactor: 1.5},
-	{callers: 100, coldZone: true, load: 0.8, overloadFactor: 1.5},
+	{proxies: 33, load: 0.6, overloadFactor: 3},
+	{proxies: 100, load: 0.6, overloadFactor: 3},
+	{proxies: 33, coldZone: true, load: 0.6, overloadFactor: 3},
+	{proxies: 100, coldZone: true, load: 0.6, overloadFactor: 3},
+	{proxies: 33, load: 0.8, overloadFactor: 1.5},
+	{proxies: 100, load: 0.8, overloadFactor: 1.5},
+	{proxies: 33, coldZone: true, load: 0.8, overloadFactor: 1.5},
+	{proxies: 100, coldZone: true, load: 0.8, overloadFactor: 1.5},
 }
 
 func run(ctx context.Context, env scale.Env) (scale.Result, error) {
-	s := fullSize
+	p := fullPlan
 	if env.Small {
-		s = smallSize
+		p = smallPlan
 	}
-	result := scale.Result{Notes: notes(s)}
+	result := scale.Result{Notes: notes(p)}
 	for _, c := range scenarios {
 		env.Progress("%v", c)
-		r, err := measure(ctx, s, c, env.Seed)
+		m, err := runScenario(ctx, p, c, env.Seed)
 		if err != nil {
 			return result, fmt.Errorf("%v: %w", c, err)
 		}
-		result.Figures = append(result.Figures, figures(s, c, r)...)
+		result.Figures = append(result.Figures, figures(p, c, m)...)
 	}
 	return result, nil
 }
 
-// measurement is what is measured in one scenario.
+// measurement holds the results of one scenario.
 type measurement struct {
 	before, outage, recovery phase
 	counts                   backend.Counts
 }
 
-// phase counts the results of the calls in one phase.
-type phase struct{ served, others int64 }
+// phase counts the calls of one phase by result.
+type phase struct{ served, notServed int64 }
 
-func (p phase) servedRatio() float64 { return float64(p.served) / float64(max(1, p.served+p.others)) }
+func (p phase) servedRatio() float64 {
+	return float64(p.served) / float64(max(1, p.served+p.notServed))
+}
 
-// measure runs a scenario on a new service: backends crash, and later restart cold.
-func measure(ctx context.Context, s size, c scenario, seed uint64) (*measurement, error) {
-	svc, err := newService(s, c, seed)
+// runScenario runs a scenario on a new service: backends crash and later restart cold.
+func runScenario(ctx context.Context, p plan, c scenario, seed uint64) (*measurement, error) {
+	svc, err := newService(p, c, seed)
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(ctx)
 	var running sync.WaitGroup
 	running.Go(func() { svc.run(ctx) })
-	r := &measurement{}
-	err = r.measure(ctx, svc, s, c)
+	m := &measurement{}
+	err = m.runPhases(ctx, svc, p, c)
 	stop()
 	running.Wait()
 	if err != nil {
-		return nil, fmt.Errorf("run a cold start: %w", err)
+		return nil, fmt.Errorf("run cold-start scenario: %w", err)
 	}
-	r.counts = svc.tier.Counts()
-	return r, nil
+	m.counts = svc.tier.Counts()
+	return m, nil
 }
 
-// measure runs the phases on a running service.
-func (r *measurement) measure(ctx context.Context, svc *service, s size, c scenario) error {
+// runPhases runs the phases of a scenario on a running service.
+func (m *measurement) runPhases(ctx context.Context, svc *service, p plan, c scenario) error {
 	names := svc.names[:1]
 	if c.coldZone {
 		names = svc.namesInFirstZone()
 	}
-	if _, err := svc.phase(ctx, s.warmUp); err != nil {
+	if _, err := svc.runPhase(ctx, p.warmUp); err != nil {
 		return err
 	}
 	var err error
-	if r.before, err = svc.phase(ctx, s.before); err != nil {
+	if m.before, err = svc.runPhase(ctx, p.before); err != nil {
 		return err
 	}
 	if err = svc.crash(names); err != nil {
 		return err
 	}
-	if r.outage, err = svc.phase(ctx, s.outage); err != nil {
+	if m.outage, err = svc.runPhase(ctx, p.outage); err != nil {
 		return err
 	}
 	if err = svc.restart(names); err != nil {
 		return err
 	}
-	r.recovery, err = svc.phase(ctx, s.recovery)
+	m.recovery, err = svc.runPhase(ctx, p.recovery)
 	return err
 }
 
-// phase waits for the duration of a phase and returns its results.
-func (svc *service) phase(ctx context.Context, d time.Duration) (phase, error) {
-	served, others := svc.results.served.Load(), svc.results.others.Load()
+// runPhase waits for the duration of a phase and returns the results of the calls in that time.
+func (svc *service) runPhase(ctx context.Context, d time.Duration) (phase, error) {
+	served, notServed := svc.results.served.Load(), svc.results.notServed.Load()
 	err := timing.Wait(ctx, d)
-	return phase{svc.results.served.Load() - served, svc.results.others.Load() - others}, err
+	return phase{svc.results.served.Load() - served, svc.results.notServed.Load() - notServed}, err
 }
 
-func notes(s size) []string {
+func notes(p plan) []string {
 	return []string{
-		fmt.Sprintf("%d backends in %d zones, each with a capacity of %.0f calls a second when warm. A cold one has %.1f of that "+
-			"at first, all of it after %v, and crashes when it receives too much within %v.",
-			s.backends, len(zones), warmRate, initialCapacity, warmUp, overloadWindow),
-		fmt.Sprintf("Proxies generate idempotent calls; lists are pushed. The backends are down, and not on the list, for %v; "+
-			"the %v after their restart are measured.", s.outage, s.recovery),
-		"A cold backend sustains N + 2 x root of N + 2 calls of mean work, N being the multiple of its present capacity.",
+		fmt.Sprintf("%d backends in %d zones, each with a capacity of %.0f calls/s when warm. A cold one starts at %.1f of it, "+
+			"has all of it after %v, and crashes when it receives too much load within %v.",
+			p.backends, len(zones), warmRate, initialCapacity, warmUp, overloadWindow),
+		fmt.Sprintf("Proxies generate idempotent calls; lists are pushed. Backends are down, and not on the list, for %v before "+
+			"they restart; the %v after the restart are measured.", p.outage, p.recovery),
+		"A cold backend sustains N + 2 x sqrt(N) + 2 calls of mean work, N being the multiple of its current capacity.",
 	}
 }
 
 // figures returns the figures of one scenario.
-func figures(s size, c scenario, r *measurement) []scale.Figure {
-	var list []scale.Figure
+func figures(p plan, c scenario, m *measurement) []scale.Figure {
+	var figs []scale.Figure
 	add := func(quantity, unit string, value float64, target *float64, samples int64) {
-		list = append(list, scale.Figure{Case: c.String(), Quantity: quantity, Unit: unit, Value: value, Target: target,
+		figs = append(figs, scale.Figure{Case: c.String(), Quantity: quantity, Unit: unit, Value: value, Target: target,
 			Source: scale.HollowProxy, Samples: int(samples)})
 	}
-	calls := r.before.served + r.before.others
-	capacity := warmRate * float64(s.backends) * s.before.Seconds()
+	calls := m.before.served + m.before.notServed
+	capacity := warmRate * float64(p.backends) * p.before.Seconds()
 	add("calls before, over the capacity of all", "part", float64(calls)/capacity, nil, calls)
-	cold := r.counts.ColdArrivals
-	add("worst window of a cold backend over what it bears", "part", r.counts.ColdPeakLoad, scale.Target(1), cold)
-	add("the same with nothing allowed for chance", "part", r.counts.ColdPeakSustainableRatio, nil, cold)
-	add("cold backends that fell", "backends", float64(r.counts.OverloadCrashes), scale.Target(0), cold)
-	for _, p := range []struct {
+	cold := m.counts.ColdArrivals
+	add("worst window of a cold backend over what it bears", "part", m.counts.ColdPeakLoad, scale.Target(1), cold)
+	add("the same with nothing allowed for chance", "part", m.counts.ColdPeakSustainableRatio, nil, cold)
+	add("cold backends that fell", "backends", float64(m.counts.OverloadCrashes), scale.Target(0), cold)
+	for _, ph := range []struct {
 		name string
 		phase
-	}{{"before", r.before}, {"while backends are away", r.outage}, {"while they are cold", r.recovery}} {
-		add("calls served "+p.name, "part", p.servedRatio(), nil, p.served+p.others)
+	}{{"before", m.before}, {"while backends are away", m.outage}, {"while they are cold", m.recovery}} {
+		add("calls served "+ph.name, "part", ph.servedRatio(), nil, ph.served+ph.notServed)
 	}
-	return list
+	return figs
 }
--- a/internal/scale/ramp/service.go
+++ b/internal/scale/ramp/service.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	work    = 20 * time.Millisecond // mean service time at a warm backend
-	latency = 200 * time.Microsecond
-	workers = 4
-	queue   = 40 // 200 ms of work at a warm backend
+	serviceTime = 20 * time.Millisecond  // mean, at a warm backend
+	latency     = 200 * time.Microsecond // mean, one way, between proxy and backend
+	workers     = 4
+	queueLimit  = 40 // takes a warm backend 200 ms to serve
 
-	initialCapacity = 0.3
-	warmUp          = 8 * time.Second
-	overloadWindow  = time.Second
+	initialCapacity = 0.3             // of a cold backend, as a fraction of its warm capacity
+	warmUp          = 8 * time.Second // until a cold backend is warm
+	overloadWindow  = time.Second     // within which the load of a cold backend is counted
 
-	list   = "service"
-	region = "region"
+	listName = "service"
+	region   = "region"
 )
 
-// warmRate is the capacity of a warm backend, in calls a second.
-var warmRate = workers / work.Seconds()
+// warmRate is the capacity of a warm backend in calls per second.
+var warmRate = workers / serviceTime.Seconds()
 
 var zones = []string{"zone-a", "zone-b", "zone-c", "zone-d", "zone-e"}
 
@@ -43,40 +43,40 @@
 	Idempotency:      balancer.Idempotent,
 }}
 
-// service is a service of backends, a discovery service, and the proxies that generate the calls.
+// service holds the emulated backends, the discovery service and the hollow proxies that generate the calls.
 type service struct {
-	names    []string // of the backends, in rotating zones
+	names    []string // of the backends; their zones rotate in this order
 	tier     *backend.Tier
 	registry *registry.Service
-	callers  []*hollow.Proxy
+	proxies  []*hollow.Proxy
 	results  results
 }
 
-// results counts the results of the proxies' calls.
-type results struct{ served, others atomic.Int64 }
+// results counts the calls of all proxies by result.
+type results struct{ served, notServed atomic.Int64 }
 
-func (a *results) add(_ hollow.Call, result hollow.Result) {
+func (r *results) add(_ hollow.Call, result hollow.Result) {
 	if result.Outcome == hollow.Served {
-		a.served.Add(1)
+		r.served.Add(1)
 	} else {
-		a.others.Add(1)
+		r.notServed.Add(1)
 	}
 }
 
-func newService(s size, c scenario, seed uint64) (*service, error) {
+func newService(p plan, c scenario, seed uint64) (*service, error) {
 	seeds := rand.New(rand.NewPCG(seed, 0))
 	svc := &service{}
-	for i := range s.backends {
+	for i := range p.backends {
 		svc.names = append(svc.names, fmt.Sprintf("backend-%d", i))
 	}
 	var err error
 	svc.tier, err = backend.New(backend.Config{
 		Names:   svc.names,
 		Classes: classes,
-		Work:    work,
+		Work:    serviceTime,
 		Latency: latency,
 		Workers: workers,
-		Queue:   queue,
+		Queue:   queueLimit,
 		ColdStart: backend.ColdStart{
 			InitialCapacity: initialCapacity,
 			WarmUp:          warmUp,
@@ -93,22 +93,22 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := svc.addCallers(s, c, seeds); err != nil {
+	if err := svc.addProxies(p, c, seeds); err != nil {
 		svc.registry.Close()
 		return nil, err
 	}
 	return svc, nil
 }
 
-// addCallers publishes the backends and creates the proxies.
-func (svc *service) addCallers(s size, c scenario, seeds *rand.Rand) error {
+// addProxies publishes the backends and creates the proxies.
+func (svc *service) addProxies(p plan, c scenario, seeds *rand.Rand) error {
 	if err := svc.publish(svc.names, discovery.Serving, time.Time{}); err != nil {
 		return err
 	}
-	for i := range c.callers {
+	for i := range c.proxies {
 		name, zone := fmt.Sprintf("proxy-%d", i), i%len(zones)
 		location := registry.Location{Name: name, Zone: zones[zone], Region: region}
-		p, err := hollow.New(hollow.Config{
+		proxy, err := hollow.New(hollow.Config{
 			Name:     name,
 			Zones:    zones,
 			Seed:     seeds.Uint64(),
@@ -116,24 +116,24 @@
 			Settings: c.settings(i, zone),
 			Discovery: discovery.Options{
 				Address: "discovery:80",
-				Dial:    svc.registry.Dialer(list, location),
+				Dial:    svc.registry.Dialer(listName, location),
 			},
-			CallRate: c.load * warmRate * float64(s.backends) / float64(c.callers),
+			CallRate: c.load * warmRate * float64(p.backends) / float64(c.proxies),
 			OnResult: svc.results.add,
 		})
 		if err != nil {
 			return err
 		}
-		svc.callers = append(svc.callers, p)
+		svc.proxies = append(svc.proxies, proxy)
 	}
 	return nil
 }
 
-// settings returns the settings of a proxy.
+// settings returns the settings of one proxy.
 func (c scenario) settings(replicaIndex, zone int) balancer.Settings {
 	return balancer.Settings{
 		Tier:              1,
-		Replicas:          c.callers,
+		Replicas:          c.proxies,
 		ReplicaIndex:      replicaIndex,
 		Zone:              zone,
 		Zones:             len(zones),
@@ -147,7 +147,8 @@
 	}
 }
 
-// publish publishes the status of backends. The time of their start may be zero.
+// publish publishes the status of backends to the endpoint list. If started is zero, they count as started
+// long ago.
 func (svc *service) publish(names []string, status discovery.Status, started time.Time) error {
 	since := int64(0)
 	if !started.IsZero() {
@@ -158,7 +159,7 @@
 		changes = append(changes, discovery.Endpoint{Name: name, Address: name + ":80", Zone: svc.zoneOf(name),
 			Status: status, SinceMs: since})
 	}
-	_, err := svc.registry.Publish(list, region, changes...)
+	_, err := svc.registry.Publish(listName, region, changes...)
 	return err
 }
 
@@ -171,7 +172,7 @@
 	return ""
 }
 
-// namesInFirstZone returns the backends of the first zone.
+// namesInFirstZone returns the names of the backends in the first zone.
 func (svc *service) namesInFirstZone() (names []string) {
 	for _, name := range svc.names {
 		if svc.zoneOf(name) == zones[0] {
@@ -185,13 +186,13 @@
 func (svc *service) run(ctx context.Context) {
 	defer svc.registry.Close()
 	var running sync.WaitGroup
-	for _, p := range svc.callers {
+	for _, p := range svc.proxies {
 		running.Go(func() { p.Run(ctx) })
 	}
 	running.Wait()
 }
 
-// crash crashes backends and removes them from the list.
+// crash crashes backends and removes them from the endpoint list.
 func (svc *service) crash(names []string) error {
 	for _, name := range names {
 		if err := svc.tier.Crash(name); err != nil {
@@ -201,7 +202,7 @@
 	return svc.publish(names, discovery.Deleted, time.Time{})
 }
 
-// restart starts backends and puts them back on the list.
+// restart starts crashed backends, which are then cold, and puts them back on the endpoint list.
 func (svc *service) restart(names []string) error {
 	for _, name := range names {
 		if err := svc.tier.Start(name); err != nil {
