--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -16,9 +16,9 @@
 
 // Limits of the console.
 const (
-	MaxConnections   = 12  // open at a time; those without a complete call are evicted to admit others
-	MaxBodyBytes     = 512 // limit for the body of a call
-	OperationTimeout = 900 * time.Millisecond
+	MaxConnections   = 12                     // open at a time; those without a complete call are evicted to admit others
+	MaxBodyBytes     = 512                    // limit for the body of a call
+	OperationTimeout = 900 * time.Millisecond // for running the operation of a call
 
 	maxHeadBytes = 4 << 10
 	headTimeout  = 2 * time.Second
@@ -38,6 +38,7 @@
 	Ready() (settings string, err error)
 	// Detach stops new requests from being sent to a backend until Attach is called for it.
 	Detach(ctx context.Context, backendID string) error
+	// Attach reverts Detach.
 	Attach(ctx context.Context, backendID string) error
 	// SetLameDuck drains the proxy of clients, or returns it to service.
 	SetLameDuck(ctx context.Context, on bool) error
--- a/internal/backendtest/backendtest.go
+++ b/internal/backendtest/backendtest.go
@@ -35,7 +35,7 @@
 func Start(t *testing.T, respond Responder) *Backend {
 	t.Helper()
 	var b *Backend
-	ready := make(chan struct{})
+	ready := make(chan struct{}) // closed when b is set
 	b = StartRaw(t, func(w io.Writer, r *http.Request) bool {
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return false
--- a/internal/clientconn/conn.go
+++ b/internal/clientconn/conn.go
@@ -23,7 +23,7 @@
 	// Guarded by the listener's mu. A connection without an open request is an element of one of the listener's lists.
 	list     *list.List // nil while a request is open
 	element  *list.Element
-	listedAt time.Time
+	listedAt time.Time // when the connection was added to list
 }
 
 // AcceptedAt returns when the connection was accepted.
--- a/internal/clientconn/evict_test.go
+++ b/internal/clientconn/evict_test.go
@@ -78,7 +78,7 @@
 		"idle before young unused":     {[2]setState{unused, idle}, 1},
 		"idle longest":                 {[2]setState{idle, idle}, 0},
 		"young unused if none is idle": {[2]setState{unused, unused}, 0},
-		"none that has started":        {[2]setState{started, unused}, 1},
+		"not one with started request": {[2]setState{started, unused}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -35,7 +35,7 @@
 
 // Config is the configuration of one proxy.
 type Config struct {
-	Name      string // unchanged by a restart
+	Name      string // name of the proxy, which a restart does not change
 	Listen    string // host:port for client connections
 	Console   string // host:port for operators; empty for no console
 	Discovery string // host:port of the discovery service
@@ -44,7 +44,7 @@
 	Limits    Limits
 	Version   string          // identifies the content of limits and settings
 	Known     *discovery.List // the last known endpoint list, used until discovery answers; nil if there is none
-	Site      *settings.Site
+	Site      *settings.Site  // the decoded settings
 }
 
 // CheckReload returns an error if a running process can't replace c with next, because the change needs a restart or
@@ -151,7 +151,7 @@
 	return site, nil
 }
 
-// parseKnown returns nil if the file has no endpoint list, or null.
+// parseKnown decodes the last known endpoint list. It returns nil if the file has none, or null.
 func parseKnown(data json.RawMessage) (*discovery.List, error) {
 	if len(data) == 0 || string(data) == "null" {
 		return nil, nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -66,7 +66,7 @@
 func TestLoadUsesDefaultSocketsWithoutLimit(t *testing.T) {
 	cfg, err := loadText(t, strings.Replace(validFile, `"sockets":512`, `"sockets":0`, 1), nil)
 	if err != nil || cfg.Limits.Sockets != 1024 {
-		t.Errorf("got %d, %v", cfg.Limits.Sockets, err)
+		t.Errorf("got %d sockets, %v; want 1024", cfg.Limits.Sockets, err)
 	}
 }
 
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -48,8 +48,8 @@
 	return l, nil
 }
 
-// Halved returns the limits of each of two concurrent processes. Cores is not halved, as the platform reallocates the
-// cores.
+// Halved returns the limits of each of two concurrent processes. Cores is not halved, because the platform distributes
+// the cores among the processes.
 func (l Limits) Halved() Limits {
 	return Limits{Sockets: l.Sockets / 2, MemoryMB: l.MemoryMB / 2, Cores: l.Cores}
 }
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -19,7 +19,7 @@
 // reload replaces it with a new one, and each request is parsed and handled with a single snapshot.
 type Snapshot struct {
 	Site     *settings.Site
-	Balancer balancer.Settings // the site's, with the zone numbers assigned at the start of the process
+	Balancer balancer.Settings // Site.Balancer, but with the zone numbers of the start of the process
 	Limits   Limits
 	Version  string // identifies the content of limits and settings
 	TakenAt  time.Time
@@ -38,7 +38,7 @@
 }
 
 // NewSnapshot validates a configuration, except for what the balancer validates itself. previous is the snapshot that
-// the new one replaces, or nil at the start of the process; zones are those assigned at the start.
+// the new one replaces, or nil at the start of the process; zones holds the zone numbers of the start.
 func NewSnapshot(cfg Config, zones discovery.Zones, previous *Snapshot) (*Snapshot, error) {
 	if err := cfg.Site.ValidateForProxy(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -87,7 +87,7 @@
 	return NoTenant
 }
 
-// LongestDeadline returns the longest deadline of the requests that may be open at now, which must be after TakenAt.
+// LongestDeadline returns the longest deadline of the requests that may be open at now, which must not be before TakenAt.
 func (s *Snapshot) LongestDeadline(now time.Time) time.Duration {
 	if now.Before(s.earlier.until) {
 		return max(s.longestDeadline, s.earlier.longest)
--- a/internal/config/snapshot_test.go
+++ b/internal/config/snapshot_test.go
@@ -73,12 +73,12 @@
 }
 
 func TestSnapshotKeepsLongestDeadlineOfEarlierRequests(t *testing.T) {
-	const before, after = 8 * time.Second, 50 * time.Millisecond
+	const longDeadline, shortDeadline = 8 * time.Second, 50 * time.Millisecond
 	zones := discovery.NewZones(nil)
 	first := takeSnapshot(t, decodeSite(t), zones, nil)
 	short := decodeSite(t)
 	for i := range short.Balancer.Classes {
-		short.Balancer.Classes[i].Deadline = balancer.Microseconds(after / time.Microsecond)
+		short.Balancer.Classes[i].Deadline = balancer.Microseconds(shortDeadline / time.Microsecond)
 	}
 	second := takeSnapshot(t, short, zones, first)
 	third := takeSnapshot(t, short, zones, second)
@@ -87,11 +87,11 @@
 		at       time.Time
 		want     time.Duration
 	}{
-		"first":                        {first, first.TakenAt, before},
-		"second at once":               {second, second.TakenAt, before},
-		"second after the last":        {second, second.TakenAt.Add(before), after},
-		"third before the first's end": {third, second.TakenAt.Add(before - time.Nanosecond), before},
-		"third after it":               {third, second.TakenAt.Add(before), after},
+		"first":           {first, first.TakenAt, longDeadline},
+		"second, at once": {second, second.TakenAt, longDeadline},
+		"second, after the first's last deadline": {second, second.TakenAt.Add(longDeadline), shortDeadline},
+		"third, before the first's last deadline": {third, second.TakenAt.Add(longDeadline - time.Nanosecond), longDeadline},
+		"third, after the first's last deadline":  {third, second.TakenAt.Add(longDeadline), shortDeadline},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := c.snapshot.LongestDeadline(c.at); got != c.want {
--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -41,8 +41,9 @@
 	return nil
 }
 
-// bodyStart returns the reference time for the pace of a body, whose first bytes are due message.FirstBytesTimeout later:
-// FirstRequestTimeout after the accept for a connection's first request, headTimeout after the arrival for others.
+// bodyStart returns the reference time for the minimum rate of a body. The first bytes of the body are due
+// message.FirstBytesTimeout after it. For a connection's first request, this is FirstRequestTimeout after the accept, but
+// at least message.FirstBytesTimeout after the arrival of the head; for later requests, headTimeout after that arrival.
 func bodyStart(connection *clientconn.Conn, arrivedAt time.Time) time.Time {
 	if connection == nil || connection.ServedRequest() {
 		return arrivedAt.Add(headTimeout - message.FirstBytesTimeout)
--- a/internal/downstream/drain.go
+++ b/internal/downstream/drain.go
@@ -3,8 +3,9 @@
 import "time"
 
 const (
-	// NewConnectionWindow is how long after SIGTERM new connections may still arrive. During minNewConnectionWindow they
-	// are certain to.
+	// NewConnectionWindow is how long after SIGTERM clients may still open new connections. For minNewConnectionWindow they
+	// certainly still can. While clients are drained, NewConnectionWindow is also the age beyond which connections without any
+	// request so far are closed.
 	NewConnectionWindow    = 550 * time.Millisecond
 	minNewConnectionWindow = 200 * time.Millisecond
 
@@ -33,14 +34,15 @@
 // SetTakenOver records whether another process of this proxy accepts connections.
 func (s *Server) SetTakenOver(takenOver bool) { s.takenOver.Store(takenOver) }
 
-// Drain shuts the server down after SIGTERM. Until serveUntil, requests are served as usual and connections stay open.
-// Clients soon stop opening new connections, but keep using the open ones, and the server does not know which other
-// proxies they can reach: the others may restart shortly after each other, so that this one may be the only one left for
-// some seconds, and its successor would not start sooner if this process exited early. After serveUntil, connections are
-// closed as they become idle, until none is left or cutoff has passed.
+// Drain shuts the server down after SIGTERM. For NewConnectionWindow, and then until serveUntil or until no connection is
+// left, requests are served as usual and connections stay open. After that, connections are closed as they become idle,
+// until none is left or cutoff has passed.
 //
-// This also helps when other proxies have crashed, and when a load balancer in front of the proxies is slow to discover a
-// new one. The drawback: under a supervisor that starts the successor only after this process has exited, the successor
+// Drain serves for so long because clients soon stop opening new connections but keep using the open ones, and the server
+// does not know which other proxies they can reach. The others may restart shortly after each other, so that this one may
+// be the only one left for some seconds. It also helps when other proxies have crashed, and when a load balancer in front
+// of the proxies is slow to discover a new one. Usually the successor would not start sooner if this process exited
+// early. The drawback: under a supervisor that starts the successor only after this process has exited, the successor
 // starts seconds later.
 func (s *Server) Drain(serveUntil, cutoff time.Time) {
 	begin := time.Now()
--- a/internal/downstream/lameduck.go
+++ b/internal/downstream/lameduck.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// LameDuckDelay is the time from the start of lame duck mode until clients no longer open new connections to this proxy:
-// they repeat their health checks within 0.1 s, and may open connections for another 0.2 s.
+// LameDuckDelay is the time from the start of lame duck mode until the proxy begins to close connections, because clients
+// no longer open new ones to it. Clients repeat their health checks within 0.1 s, and may open connections for another
+// 0.2 s; the delay is 0.1 s longer than that.
 const LameDuckDelay = 400 * time.Millisecond
 
 // SetLameDuck starts draining the proxy of clients, or returns it to service. Nothing else changes, and nothing restarts.
--- a/internal/downstream/parse.go
+++ b/internal/downstream/parse.go
@@ -77,7 +77,7 @@
 
 // checkMessage checks the protocol version, the framing and the headers, none of which depend on the settings.
 func checkMessage(r *http.Request, connection *clientconn.Conn) error {
-	if !r.ProtoAtLeast(1, 1) { // net/http drops the Transfer-Encoding of these
+	if !r.ProtoAtLeast(1, 1) { // net/http drops the Transfer-Encoding of older versions
 		return &requestError{status: http.StatusHTTPVersionNotSupported, reason: "HTTP/1.1 is required"}
 	}
 	if len(r.TransferEncoding) > 0 && (connection == nil || !connection.HasValidFraming()) {
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -18,11 +18,11 @@
 
 const (
 	// FirstRequestTimeout limits the time from accepting a connection until the first bytes of the first request's body
-	// arrive. Together with headTimeout for its head, it ensures that a new client gets a response, or its connection is
-	// closed, within 3 s.
+	// arrive, but leaves the client at least message.FirstBytesTimeout after the head. Together with headTimeout for the
+	// head, it ensures that a new client gets a response, or its connection is closed, within 3 s.
 	FirstRequestTimeout = 2800 * time.Millisecond
 
-	headTimeout  = 2200 * time.Millisecond // for a request's head, and on later requests for the first bytes of the body
+	headTimeout  = 2200 * time.Millisecond // for a request's head; on later requests also for the first bytes of the body
 	idleTimeout  = 10 * time.Second        // for the next request to begin on a connection
 	writeTimeout = 5 * time.Second         // for a buffered response
 )
--- a/internal/message/request_stream.go
+++ b/internal/message/request_stream.go
@@ -88,8 +88,8 @@
 // Resume allows reads again after Interrupt.
 func (s *RequestStream) Resume() { s.interrupted.Store(false) }
 
-// Discard reads and drops what a client still sends after it was given its response. If the connection were closed with
-// unread bytes, it would be reset and the client could lose the response.
+// Discard reads and drops what a client still sends after its response has been written. If the connection were closed
+// with unread bytes, it would be reset and the client could lose the response.
 func (s *RequestStream) Discard() {
 	if s.ended.Load() || s.control.Flush() != nil {
 		return
--- a/internal/message/response_stream.go
+++ b/internal/message/response_stream.go
@@ -23,8 +23,8 @@
 	Done        chan error // gets the result of the delivery; has a buffer for one value
 }
 
-// Deliver writes the response to a client and flushes each piece as it arrives. An error says which side failed; the
-// response is then incomplete, and the client's connection must be closed.
+// Deliver writes the response to a client and flushes each piece as it arrives. The error of a read or write says which
+// side failed. After any error the response is incomplete, and the client's connection must be closed.
 func (s *ResponseStream) Deliver(ctx context.Context, w http.ResponseWriter) (err error) {
 	// Once the client has disconnected, reading the rest of the response is pointless.
 	stopAbort := context.AfterFunc(ctx, s.Abort)
--- a/internal/timing/timing_test.go
+++ b/internal/timing/timing_test.go
@@ -11,7 +11,7 @@
 	"baylock/internal/microtime"
 )
 
-// Compares a queue with a plain list under random additions, reschedulings, removals and takes.
+// The test compares a queue with a plain list under random additions, reschedulings, removals and takes.
 func TestQueueTakesTimersInOrder(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 7))
 	var queue Queue[int]
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -16,9 +16,9 @@
 	reader     *bufio.Reader // its buffer size limits the size of a response head
 	endpoint   *endpoint
 	generation int           // the endpoint's generation when the connection was opened
-	idleSince  time.Time     // when it was last used; zero if it never was
+	idleSince  time.Time     // when it last became idle, uses that wrote nothing aside; zero if it never did
 	idleTime   time.Duration // how long it was idle before its current use; 0 if it is new
-	written    bool          // at least one byte was written in its current use
+	written    bool          // set right before the first byte of its current use is written
 
 	stallTimeout time.Duration // time limit of each read; 0 for none
 	readDeadline time.Time     // overall limit of all reads while stallTimeout is set; zero for none
--- a/internal/upstream/hedge.go
+++ b/internal/upstream/hedge.go
@@ -6,7 +6,9 @@
 	"time"
 )
 
-// Limits of hedged dials. The delays are the values that RFC 8305 (Happy Eyeballs) recommends for racing connections.
+// Limits of hedged dials. initialHedgeDelay and maxHedgeDelay are the default and the maximum that RFC 8305 (Happy
+// Eyeballs) recommends for the delay between connection attempts. minHedgeDelay is less than the minimum of 100 ms that it
+// recommends, but more than the 10 ms that it requires at least.
 const (
 	connectTimeSamples = 32                     // kept per zone
 	hedgeDelayFactor   = 4                      // a dial is hedged after this multiple of the median connect time
@@ -20,8 +22,8 @@
 	maxHedgeTokens     = 10.0
 )
 
-// hedgePolicy decides when a slow dial is hedged with another dial, and limits hedges to a fraction of all dials. It is
-// safe for concurrent use.
+// hedgePolicy decides when a slow dial is hedged with another dial, and limits hedges to a fraction of the first dials
+// of races. It is safe for concurrent use.
 type hedgePolicy struct {
 	mu     sync.Mutex // guards the fields below
 	zones  map[string]*connectTimes
@@ -38,7 +40,8 @@
 	return &hedgePolicy{zones: map[string]*connectTimes{}, tokens: maxHedgeTokens}
 }
 
-// beginRace counts the first dial of a race in a zone and returns the delay after which a pending dial is hedged.
+// beginRace adds the tokens for the first dial of a race, and returns the delay after which a pending dial in the zone is
+// hedged.
 func (h *hedgePolicy) beginRace(zone string) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// ReuseDelay is how long a connection stays idle before it is reused. Stray bytes after a response arrive within
+	// ReuseDelay is how long a connection must be idle before it is reused. Stray bytes after a response arrive within
 	// this time; if the connection were reused earlier, they would be read as the next response.
 	ReuseDelay = 20 * time.Millisecond
 
@@ -17,13 +17,15 @@
 	staleResetWindow = 10 * time.Millisecond
 
 	// After a stale connection the pool reuses only connections that have been idle for less than half as long as the
-	// stale one, but this limit is at least minReuseLimit. Each sweep multiplies the limit by reuseLimitGrowth again.
+	// stale one, but this limit is at least minReuseLimit. Each sweep then multiplies the limit by reuseLimitGrowth, until
+	// it reaches the pool's idle timeout.
 	minReuseLimit    = 2 * ReuseDelay
 	reuseLimitGrowth = 1.05
 )
 
-// reuse removes and returns the most recently used idle connection that has been idle for ReuseDelay and is quiet. It
-// returns nil if there is none.
+// reuse removes and returns the most recently pooled connection that can be reused, or returns nil if there is none. It
+// skips connections that have not been idle for ReuseDelay yet, and closes those that it finds to exceed the reuse limit
+// or not to be quiet (see socket.IsQuiet).
 func (t Target) reuse() *conn {
 	p, e := t.pool, t.endpoint
 	p.mu.Lock()
@@ -79,8 +81,8 @@
 	p.reuseLimit = max(minReuseLimit, min(p.reuseLimit, c.idleTime/2))
 }
 
-// Sweep closes the connections that have been idle for too long or that their endpoints have closed, and raises the
-// reuse limit. It is called once a second.
+// Sweep raises the reuse limit, and closes the idle connections that exceed it, that their endpoints have closed or that
+// have unread bytes. It is called once a second.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -21,8 +21,8 @@
 	closed           chan struct{}  // closed by Close
 
 	mu          sync.Mutex    // guards the fields below and the fields of all endpoints
-	idleTimeout time.Duration // maximum idle time; Sweep closes connections that exceed it
-	reuseLimit  time.Duration // connections idle for longer are not reused; at most idleTimeout
+	idleTimeout time.Duration // maximum of reuseLimit; below the time after which endpoints close idle connections
+	reuseLimit  time.Duration // connections idle for longer are not reused, and Sweep closes them
 	maxOpen     int           // maximum of open
 	open        int           // open connections, including those being dialed
 	endpoints   map[string]*endpoint
@@ -68,8 +68,8 @@
 	Open        int // open connections, including those being dialed
 	Idle        int // idle connections
 	DialTimeout time.Duration
-	IdleTimeout time.Duration // connections that are idle for longer are closed
-	ReuseLimit  time.Duration // connections that are idle for longer are not reused
+	IdleTimeout time.Duration // maximum of ReuseLimit
+	ReuseLimit  time.Duration // connections that are idle for longer are not reused, and Sweep closes them
 }
 
 // Stats returns the current state of the pool.
@@ -84,8 +84,8 @@
 	return s
 }
 
-// Close cancels the remaining dials of finished attempts, waits until they have ended and closes the idle connections.
-// No attempt may be in flight or start later.
+// Close cancels the dials that lost a race and are still pending, waits until they have ended and closes the idle
+// connections. No attempt may be in flight or start later.
 func (p *Pool) Close() {
 	close(p.closed)
 	p.lateDials.Wait()
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -20,7 +20,7 @@
 var errNotStarted = errors.New("attempt can no longer start")
 
 // upload writes a streamed request while the client is still sending it. ok reports whether the request was written
-// completely, so that the response can be read. Until then the endpoint can only reject the request.
+// completely, so that the response can be read. Before it has the complete request, the endpoint can only reject it.
 func (a *Attempt) upload(ctx context.Context, c *conn) (result Result, ok bool) {
 	a.Request.Stream.Resume()
 	w := &uploadWriter{ctx: ctx, attempt: a, conn: c, responded: make(chan bool, 1),
@@ -71,8 +71,8 @@
 	return result
 }
 
-// uploadWriter writes a streamed request to an endpoint. It fails once a write times out or the endpoint sends
-// something.
+// uploadWriter writes a streamed request to an endpoint. It fails once a write times out, or the endpoint sends something
+// or closes the connection.
 type uploadWriter struct {
 	ctx        context.Context
 	attempt    *Attempt
