--- a/cmd/simadapter/events.go
+++ b/cmd/simadapter/events.go
@@ -21,8 +21,8 @@
 	AttemptEnded     *wireOutcome         `json:"completed"`
 	RequestCancelled *wireRequestID       `json:"withdrawn"`
 	TimerFired       *wireTimer           `json:"tick_due"`
-	HealthChecked    *wireInstance        `json:"probe_done"` // the balancer sends no health checks
-	PeerMessage      *wireInstance        `json:"message"`    // nor messages to other replicas
+	HealthChecked    *wireInstance        `json:"probe_done"` // ignored: the balancer sends no health checks
+	PeerMessage      *wireInstance        `json:"message"`    // ignored: replicas send each other no messages
 }
 
 // The names of the events, for errors.
--- a/cmd/simadapter/serve.go
+++ b/cmd/simadapter/serve.go
@@ -11,7 +11,7 @@
 
 const (
 	bufferBytes    = 1 << 20 // size of the input buffer and of the output buffer
-	maxQuotedBytes = 80      // of a line with an unknown event, in an error
+	maxQuotedBytes = 80      // how much of a line with an unknown event the error quotes
 )
 
 // serve replies to batches of events until the input ends. It returns an error for the first line that
--- a/internal/operatorstate/locks.go
+++ b/internal/operatorstate/locks.go
@@ -11,10 +11,11 @@
 
 // Offsets of the bytes in the lock file. Other versions of the program that run at the same time lock the same bytes.
 const (
-	stateByte          = 0 // locked while the state file is replaced
-	firstSlotByte      = 1 // each process keeps the byte of one slot locked until it exits
-	processSlots       = 8
-	firstAcceptingByte = firstSlotByte + processSlots // and the byte of its slot here while it accepts connections
+	stateByte     = 0 // locked while the state file is replaced
+	firstSlotByte = 1 // each process keeps the byte of one slot locked until it exits
+	processSlots  = 8
+	// From this byte on, each process keeps a second byte of its slot locked while it accepts connections.
+	firstAcceptingByte = firstSlotByte + processSlots
 )
 
 // Commands of fcntl for locks that belong to an open file description instead of a process (F_OFD_GETLK, F_OFD_SETLK).
--- a/internal/operatorstate/store_test.go
+++ b/internal/operatorstate/store_test.go
@@ -143,13 +143,13 @@
 				t.Errorf("the earlier version wrote keys %q", got)
 			}
 			if got := keyPaths(after, ""); !slices.Equal(got, want) {
-				t.Errorf("got %q", got)
+				t.Errorf("this version wrote keys %q", got)
 			}
 			if !reflect.DeepEqual(after["learned"], before["learned"]) {
 				t.Errorf("got values %v, want %v", after["learned"], before["learned"])
 			}
 			if kind := fmt.Sprintf("%T", after["version"]); kind != fmt.Sprintf("%T", before["version"]) {
-				t.Errorf("the version is a %s", kind)
+				t.Errorf("the version is a %s, unlike that of the earlier version", kind)
 			}
 		})
 	}
@@ -253,7 +253,7 @@
 
 func TestOpenFailsWithoutFreeSlot(t *testing.T) {
 	dir := t.TempDir()
-	for range 8 {
+	for range 8 { // processSlots
 		openStore(t, dir)
 	}
 	if _, err := Open(dir, proxyName, slog.New(slog.DiscardHandler)); !errors.Is(err, ErrNoFreeSlot) {
@@ -261,7 +261,7 @@
 	}
 }
 
-func TestOpenFailsWithoutFolder(t *testing.T) {
+func TestOpenFailsWithoutDirectory(t *testing.T) {
 	if _, err := Open(filepath.Join(t.TempDir(), "none"), proxyName, slog.New(slog.DiscardHandler)); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("got %v", err)
 	}
@@ -303,7 +303,7 @@
 		}
 	}
 	if len(applied) != 1 || applied[0].Version != 1 || !slices.Equal(applied[0].Detached, []string{"a"}) {
-		t.Errorf("applied %+v", applied)
+		t.Errorf("three calls of Sync applied %+v, want the change once", applied)
 	}
 	if err := first.Sync(apply); err != nil || len(applied) != 1 {
 		t.Errorf("a store applied its own change again: %+v, %v", applied, err)
@@ -324,7 +324,7 @@
 		}
 	}
 	if applied != 1 || !s.Current().LameDuck {
-		t.Errorf("applied %d times, state %+v", applied, s.Current())
+		t.Errorf("Sync applied the new state %d times, want once; the state is %+v", applied, s.Current())
 	}
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -17,7 +17,8 @@
 	`"objective_us":500000,"repeat":"deduplicated","worth":1.0}],"siblings":3,"stage":0,` +
 	`"tenants":[{"name":"acme","portion":1,"quota_per_s":4}],"tiers":["t"],"weights":"rough"}`
 
-// decode decodes testObject after it has replaced each old text with the new one that follows it in replacements.
+// decode decodes testObject after replacements, which are pairs of an old text and a new one, as for
+// strings.NewReplacer.
 func decode(t *testing.T, replacements ...string) *Site {
 	t.Helper()
 	site, err := Decode([]byte(strings.NewReplacer(replacements...).Replace(testObject)))
