--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -10,14 +10,15 @@
 	"time"
 )
 
-// MembersPath is the URL path of the endpoint list. Without a query the service responds with the complete list at once.
+// ListPath is the URL path of the endpoint list. Without a query the service responds with the complete list at once.
 // With FromQuery and HoldQuery the call is a watch, which is a long poll for changes.
 const (
-	MembersPath = "/catalog/members"
-	FromQuery   = "from"    // the version that the caller has
-	HoldQuery   = "hold_ms" // how long the call may wait for changes, in milliseconds
+	ListPath  = "/catalog/members"
+	FromQuery = "from"    // the version that the caller has
+	HoldQuery = "hold_ms" // how long the call may wait for changes, in milliseconds
 )
 
+// maxListBytes limits how much of a response is read. A longer list is truncated, so ParseList rejects it.
 const maxListBytes = 4 << 20
 
 // errUnavailable is returned if the service rejects a call because it is overloaded or down.
@@ -25,7 +26,7 @@
 
 // fetchList requests the changes since version from, or the complete list if from is NoVersion.
 func (c *Client) fetchList(ctx context.Context, from int64) (*List, error) {
-	url, timeout := "http://"+c.options.Address+MembersPath, c.snapshotTimeout
+	url, timeout := "http://"+c.options.Address+ListPath, c.snapshotTimeout
 	if from >= 0 {
 		wait := c.watchWait - time.Duration(c.options.Random.Int64N(int64(c.policy.watchWaitSpread)+1))
 		url += "?" + FromQuery + "=" + strconv.FormatInt(from, 10) +
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -14,7 +14,7 @@
 // NoVersion means that no version is known, so that a call has to request the complete list.
 const NoVersion int64 = -1
 
-const maxConnections = 2
+const maxConnections = 2 // to the service, at the same time
 
 var errVersionDecreased = errors.New("list version decreased")
 
@@ -52,7 +52,7 @@
 	http    *http.Client
 	policy  policy
 
-	version            int64 // of the list received last, or NoVersion if that is uncertain
+	version            int64 // of the list received last, at first Options.Known; NoVersion after errVersionDecreased
 	needSnapshot       bool  // the next call requests the complete list
 	callWithoutRequest bool  // with Poll: the next call does not wait for a value from Requests
 
@@ -85,8 +85,8 @@
 
 // Run watches the list until the context ends. It first requests the complete list, unless it polls and knows a version.
 // After an invalid or incomplete response the version is uncertain, so it requests the complete list again. Each watch
-// starts as soon as the previous response has arrived, because the service counts changes between watches as received
-// late.
+// starts as soon as the previous response has arrived, because the service counts a change that happens between two
+// watches as received late.
 func (c *Client) Run(ctx context.Context) {
 	defer c.http.CloseIdleConnections()
 	for c.awaitRequest(ctx) {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -13,10 +13,10 @@
 	for range 100 {
 		wait := c.jitter(longest)
 		if seen[wait] = true; wait < longest/2 || wait > longest {
-			t.Fatalf("got a backoff of %v", wait)
+			t.Fatalf("got a backoff of %v, which is not in the upper half of maxBackoff", wait)
 		}
 	}
 	if len(seen) < 50 {
-		t.Errorf("got only %d different backoffs in 100 draws", len(seen))
+		t.Errorf("got only %d different backoffs from 100 calls of jitter, want at least 50", len(seen))
 	}
 }
--- a/internal/discovery/policy.go
+++ b/internal/discovery/policy.go
@@ -7,11 +7,11 @@
 // happened, or 2 s after the watch's wait ends if that is later. A watch on such a connection and the call for the
 // complete list that follows it must both end before then.
 type policy struct {
-	// Bounds of the longest time that a watch waits for changes. It increases when calls fail, to reduce the load on the
-	// service.
+	// Bounds of Client.watchWait, the longest time that a watch waits for changes. With Poll, this time increases when
+	// calls fail, to reduce the load on the service.
 	minWatchWait, maxWatchWait time.Duration
-	watchWaitSpread            time.Duration // each wait is shorter than the longest by a random time of up to this
-	watchTimeout               time.Duration // how long after its wait a watch times out
+	watchWaitSpread            time.Duration // each watch waits for Client.watchWait minus a random time of up to this
+	watchTimeout               time.Duration // how long after the end of its wait a watch times out
 
 	minSnapshotTimeout, maxSnapshotTimeout time.Duration // of a call for the complete list; increases after a timeout
 
@@ -21,6 +21,7 @@
 const (
 	minBackoff = 50 * time.Millisecond
 
+	// Changes of Client.watchWait, with Poll.
 	watchWaitGrowth   = 1.25                  // factor after a failed call
 	watchWaitDecrease = 50 * time.Millisecond // after a successful call
 )
--- a/internal/emulator/backend/attempt.go
+++ b/internal/emulator/backend/attempt.go
@@ -12,9 +12,10 @@
 	"baylock/internal/emulator/hollow"
 )
 
-// timerSlack limits the random delay between the end of an attempt's context and its effect; it models the slack of
-// Linux timers. It spreads timeouts that would otherwise expire in the same microsecond: the order in which proxies
-// learn of those does not depend on the seed, so runs would not be reproducible.
+// timerSlack limits the random delay between the end of an attempt's context and its effect. The delay models the
+// slack of Linux timers. It spreads timeouts that would otherwise expire in the same microsecond: the seed does not
+// determine the order in which proxies are notified of simultaneous timeouts, so without the delay runs would not be
+// reproducible.
 const timerSlack = 50 * time.Microsecond
 
 var errProcessEnded = errors.New("the backend's process has ended")
@@ -64,16 +65,16 @@
 
 // roundTrip sends an attempt to the backend and returns its outcome. Once the context ends, it returns Cancelled
 // within timerSlack.
-func (s *server) roundTrip(ctx context.Context, call hollow.Call, drawn samples) balancer.Status {
+func (s *server) roundTrip(ctx context.Context, call hollow.Call, values samples) balancer.Status {
 	timeout := advertisedTimeout(call.Deadline)
-	ctx, cancel := withSlack(ctx, drawn.noticeDelay)
+	ctx, cancel := withSlack(ctx, values.noticeDelay)
 	defer cancel()
-	if !sleep(ctx, drawn.requestLatency+s.injectedDelay(drawn)) {
+	if !sleep(ctx, values.requestLatency+s.injectedDelay(values)) {
 		return balancer.Cancelled
 	}
-	a := &attempt{call: call, samples: drawn, deadline: time.Now().Add(timeout), workerAssigned: make(chan struct{})}
+	a := &attempt{call: call, samples: values, deadline: time.Now().Add(timeout), workerAssigned: make(chan struct{})}
 	status := s.handle(ctx, a)
-	if status == balancer.Cancelled || !sleep(ctx, drawn.responseLatency) {
+	if status == balancer.Cancelled || !sleep(ctx, values.responseLatency) {
 		return balancer.Cancelled
 	}
 	return status
--- a/internal/emulator/backend/backend_test.go
+++ b/internal/emulator/backend/backend_test.go
@@ -16,8 +16,10 @@
 )
 
 const (
-	millisecond        = time.Millisecond
-	idempotentClass    = 0 // index into testClasses, like the next two
+	millisecond = time.Millisecond
+
+	// Indexes into testClasses.
+	idempotentClass    = 0
 	keyedClass         = 1
 	nonIdempotentClass = 2
 )
@@ -352,12 +354,12 @@
 			}
 			return time.Since(begin) / time.Duration(calls)
 		}
-		if got := mean(500); got < 35*millisecond || got > 42*millisecond { // 10 ms at a quarter of the capacity, which grows
-			t.Errorf("mean at the start: %v", got)
+		if got := mean(500); got < 35*millisecond || got > 42*millisecond { // 40 ms at first, less as the capacity grows
+			t.Errorf("mean at the start: %v, want 35ms to 42ms", got)
 		}
 		time.Sleep(1000 * time.Second)
 		if got := mean(500); got < 9*millisecond || got > 11*millisecond {
-			t.Errorf("mean when warm: %v", got)
+			t.Errorf("mean when warm: %v, want 9ms to 11ms", got)
 		}
 	})
 }
@@ -366,10 +368,10 @@
 	// Two workers that need 10 ms for a call serve 200 calls per second when warm, and half as many when cold.
 	// OverloadFactor 2 makes 200 calls sustainable within the window of 1 s.
 	const sustainable = 200
-	const threshold = 230 // 200 + 2 x 14.1 + 2
+	const threshold = 230 // the overloadThreshold of 200: 200 + 2 x 14.1 + 2, rounded
 	for _, test := range []struct {
 		name    string
-		calls   int // the sum of their random work deviates from its mean by about 6 calls' work
+		calls   int // the sum of their random work has a standard deviation of 7 to 8 calls' mean work
 		crashes bool
 	}{
 		{"below", threshold - 25, false},
@@ -385,12 +387,12 @@
 				outcomes := runAttempts(tier, test.calls, time.Second)
 				counts := tier.Counts()
 				crashed := counts.OverloadCrashes == 1
-				if crashed != test.crashes || crashed != (counts.ColdPeakLoad > 1) || crashed != (outcomes[balancer.Reset] > 0) {
+				if crashed != test.crashes || crashed != (counts.ColdPeakThresholdRatio > 1) || crashed != (outcomes[balancer.Reset] > 0) {
 					t.Errorf("outcomes %v, counts %+v", outcomes, counts)
 				}
-				want := counts.ColdPeakLoad * threshold / sustainable
+				want := counts.ColdPeakThresholdRatio * threshold / sustainable
 				if math.Abs(counts.ColdPeakSustainableRatio-want) > 0.01 {
-					t.Errorf("peak load is %v of the sustainable load, want %v", counts.ColdPeakSustainableRatio, want)
+					t.Errorf("peak load is %v times the sustainable load, want %v", counts.ColdPeakSustainableRatio, want)
 				}
 				status := runAttempt(tier, "later", idempotentClass, time.Second)
 				if down := status == balancer.ConnectFailed; down != test.crashes {
--- a/internal/emulator/backend/config.go
+++ b/internal/emulator/backend/config.go
@@ -55,13 +55,13 @@
 	return nil
 }
 
-// Faults configures the faults that running backends inject into calls. Each ratio is a fraction of all calls.
+// Faults configures the faults that running backends inject into attempts. Each ratio is a fraction of all attempts.
 type Faults struct {
-	ErrorRatio float64 // calls answered with an error after their work, before the next tier is called
-	StallRatio float64 // calls never answered; they keep their workers until they are cancelled
-	ResetRatio float64 // calls reset after their work, before the next tier is called
+	ErrorRatio float64 // attempts answered with an error after their work, before the next tier is called
+	StallRatio float64 // attempts never answered; they keep their workers until they are cancelled
+	ResetRatio float64 // attempts reset after their work, before the next tier is called
 
-	DelayRatio float64       // calls delayed on their way to the backend, as if the connection took long to establish
+	DelayRatio float64       // attempts delayed on their way to the backend, as if connecting took long
 	MaxDelay   time.Duration // delays are uniformly distributed between 0 and MaxDelay
 }
 
--- a/internal/emulator/backend/counts.go
+++ b/internal/emulator/backend/counts.go
@@ -11,7 +11,7 @@
 // Counts holds a tier's counts of attempts and runs. A run is the work of an attempt. An attempt that has arrived is
 // in flight until it is counted as served, failed, rejected, cancelled or reset.
 type Counts struct {
-	Arrivals        int64 // attempts whose last byte has arrived
+	Arrivals        int64 // attempts that have arrived at a running backend
 	ArrivalsByClass []int64
 	Served          int64
 	Failed          int64 // answered with an error, injected or because the call to the next tier failed
@@ -23,8 +23,8 @@
 	ForbiddenRuns   int64 // repeated runs of a call that its class's idempotency does not allow
 
 	ColdArrivals             int64   // attempts that arrived at cold backends
-	ColdPeakLoad             float64 // highest load within OverloadWindow, as a fraction of the overload threshold
-	ColdPeakSustainableRatio float64 // the same, as a fraction of the sustainable load
+	ColdPeakThresholdRatio   float64 // highest load within OverloadWindow, as a fraction of the overload threshold
+	ColdPeakSustainableRatio float64 // highest load within OverloadWindow, as a fraction of the sustainable load
 	OverloadCrashes          int     // crashes of cold backends caused by overload
 }
 
@@ -93,16 +93,16 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.ColdArrivals++
-	c.counts.ColdPeakLoad = max(c.counts.ColdPeakLoad, thresholdRatio)
+	c.counts.ColdPeakThresholdRatio = max(c.counts.ColdPeakThresholdRatio, thresholdRatio)
 	c.counts.ColdPeakSustainableRatio = max(c.counts.ColdPeakSustainableRatio, sustainableRatio)
 	if thresholdRatio > 1 {
 		c.counts.OverloadCrashes++
 	}
 }
 
-// runLog records when each call that is not idempotent first ran, and keeps that for as long as a retry may arrive.
-// A repeated run of a call with an idempotency key is allowed within its class's deduplication window, because all
-// backends of the tier discard such duplicates.
+// runLog records when each call that is not idempotent first ran, and keeps this time for as long as a retry may
+// arrive. A repeated run of a call with an idempotency key is allowed within its class's deduplication window, because
+// all backends of the tier discard such duplicates.
 type runLog struct {
 	classes    []balancer.Class
 	retention  time.Duration
--- a/internal/emulator/backend/server.go
+++ b/internal/emulator/backend/server.go
@@ -25,12 +25,12 @@
 	process       *process      // nil while the backend is down
 }
 
-// process is one run of a backend's process.
+// process is a process of a backend, from its start until it crashes.
 type process struct {
 	ctx     context.Context // ends with the process
 	stop    context.CancelFunc
 	started time.Time  // zero: so long ago that the process is warm
-	busy    int        // number of workers with a call
+	busy    int        // number of workers with an attempt
 	queue   []*attempt // attempts waiting for a worker, in order of arrival
 	load    coldLoad
 }
@@ -41,14 +41,14 @@
 	return s
 }
 
-// start starts a process. The zero time makes it warm from the start.
+// start starts a process at the given time. The zero time means that the process is warm from the start.
 func (s *server) start(now time.Time) {
 	p := &process{started: now}
 	p.ctx, p.stop = context.WithCancel(context.Background())
 	s.process = p
 }
 
-// crash ends the process, if there is one.
+// crash ends the process, if there is one. A hang ends with it.
 func (s *server) crash() {
 	if s.process != nil {
 		s.process.stop()
@@ -70,7 +70,7 @@
 	s.hangEnd = nil
 }
 
-// overloaded adds an arriving attempt to the load of its process, if that is cold, and reports whether the
+// overloaded adds an arriving attempt to the load of its process, if the process is cold, and reports whether the
 // load exceeds the overload threshold. It returns false if the process is warm.
 func (s *server) overloaded(a *attempt, now time.Time) bool {
 	p := a.process
@@ -139,13 +139,13 @@
 }
 
 // injectedDelay returns the injected delay of an attempt on its way to the backend.
-func (s *server) injectedDelay(drawn samples) time.Duration {
+func (s *server) injectedDelay(values samples) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if drawn.delayed >= s.faults.DelayRatio {
+	if values.delayed >= s.faults.DelayRatio {
 		return 0
 	}
-	return time.Duration(drawn.delay * float64(s.faults.MaxDelay))
+	return time.Duration(values.delay * float64(s.faults.MaxDelay))
 }
 
 // congested reports whether a process has more calls than Congestion.Threshold.
--- a/internal/emulator/hollow/generator.go
+++ b/internal/emulator/hollow/generator.go
@@ -8,8 +8,8 @@
 	"baylock/balancer"
 )
 
-// The stream numbers of the random number generators that a Proxy seeds with its Seed,
-// besides the balancer's.
+// The stream numbers of the random number generators that a Proxy seeds with its Seed, in
+// addition to the balancer's generator.
 const (
 	clientStream uint64 = iota + 1
 	generatorStream
@@ -21,12 +21,12 @@
 // generator generates calls as a Poisson process. All classes are equally likely; the
 // probability of a tenant is proportional to its QuotaFraction.
 type generator struct {
-	name       string
-	settings   balancer.Settings
-	rate       float64 // calls per second
-	random     *rand.Rand
-	count      uint64  // calls generated so far
-	totalShare float64 // sum of the QuotaFraction of all tenants
+	name               string
+	settings           balancer.Settings
+	rate               float64 // calls per second
+	random             *rand.Rand
+	count              uint64  // calls generated so far
+	totalQuotaFraction float64 // sum of the QuotaFraction of all tenants
 }
 
 func newGenerator(cfg Config) *generator {
@@ -37,7 +37,7 @@
 		random:   rand.New(rand.NewPCG(cfg.Seed, generatorStream)),
 	}
 	for _, tenant := range cfg.Settings.Tenants {
-		g.totalShare += tenant.QuotaFraction
+		g.totalQuotaFraction += tenant.QuotaFraction
 	}
 	return g
 }
@@ -47,7 +47,8 @@
 	return time.Duration(g.random.ExpFloat64() / g.rate * float64(time.Second))
 }
 
-// nextCall returns a new random call. It has no deadline, so that of its class applies.
+// nextCall returns a new random call. It has no deadline, so the deadline of its class
+// applies.
 func (g *generator) nextCall() Call {
 	g.count++
 	call := Call{ID: g.name + "-" + strconv.FormatUint(g.count, 10)}
@@ -63,7 +64,7 @@
 // nextTenant returns the index of a random tenant, weighted by QuotaFraction; 0 if there
 // are no tenants.
 func (g *generator) nextTenant() int {
-	x := g.random.Float64() * g.totalShare
+	x := g.random.Float64() * g.totalQuotaFraction
 	for i, tenant := range g.settings.Tenants {
 		if x -= tenant.QuotaFraction; x < 0 {
 			return i
--- a/internal/emulator/hollow/hollow.go
+++ b/internal/emulator/hollow/hollow.go
@@ -40,7 +40,7 @@
 // Result is the final answer of a call.
 type Result struct {
 	Outcome    Outcome
-	RetryAfter time.Duration // when to retry a rejected call; 0: unknown
+	RetryAfter time.Duration // how long to wait before retrying a rejected call; 0: no hint
 	Attempts   int           // attempts that were sent
 }
 
--- a/internal/emulator/hollow/hollow_test.go
+++ b/internal/emulator/hollow/hollow_test.go
@@ -168,7 +168,7 @@
 		for i := range 10 {
 			calls.Go(func() {
 				if got := p.Call(t.Context(), Call{ID: fmt.Sprint(i), Class: nonIdempotentClass}); got.Outcome != Failed {
-					t.Errorf("%+v", got)
+					t.Errorf("call that was open at the end of Run: got %+v, want a failure", got)
 				}
 			})
 		}
--- a/internal/emulator/hollow/loop.go
+++ b/internal/emulator/hollow/loop.go
@@ -42,8 +42,8 @@
 
 	deadline          balancer.Microseconds
 	done              bool // the request has its final answer
-	attemptsRequested int  // number of Send calls of the balancer
-	attemptsSent      int  // number of those calls whose attempt was sent
+	attemptsRequested int  // number of attempts that the balancer has requested with Send
+	attemptsSent      int  // number of requested attempts that were sent
 	inFlight          *attempt
 	expiryTimer       *timing.Timer[timerEvent]
 }
@@ -155,8 +155,8 @@
 	return false
 }
 
-// reportUnsent reports the attempts that could not be sent to the balancer. It repeats this while the balancer
-// responds with further attempts that cannot be sent.
+// reportUnsent reports to the balancer the attempts that could not be sent. It repeats this while the balancer responds
+// with further attempts that cannot be sent.
 func (l *loop) reportUnsent() {
 	for len(l.unsent) > 0 {
 		a := l.unsent[0]
--- a/internal/emulator/hollow/request.go
+++ b/internal/emulator/hollow/request.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// handleOutcome reports the outcome of an attempt to the balancer. If the attempt was successful, the request gets
-// its final answer before that.
+// handleOutcome reports the outcome of an attempt to the balancer. Before the report, a successful attempt gives the
+// request its final answer.
 func (l *loop) handleOutcome(a *attempt, status balancer.Status) {
 	r := a.request
 	if r.inFlight == a {
--- a/internal/emulator/registry/capacity_test.go
+++ b/internal/emulator/registry/capacity_test.go
@@ -25,7 +25,7 @@
 	began, results := time.Now(), make(chan requestResult, number)
 	for i := range number {
 		go func() {
-			status, _, err := c.get(t.Context(), discovery.MembersPath+query)
+			status, _, err := c.get(t.Context(), discovery.ListPath+query)
 			if err != nil {
 				t.Error(err)
 			}
--- a/internal/emulator/registry/conn.go
+++ b/internal/emulator/registry/conn.go
@@ -24,7 +24,7 @@
 	replica      *replica                // where the list is polled: serves the connection; nil if none was reachable
 	usageReplica atomic.Pointer[replica] // the bytes are added to the usage of this replica
 	silent       atomic.Bool
-	ended        chan struct{}
+	ended        chan struct{} // closed by Close
 	endOnce      sync.Once
 
 	watching bool // whether a watch is pending; guarded by Service.mu
--- a/internal/emulator/registry/faults.go
+++ b/internal/emulator/registry/faults.go
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// Restart starts a killed replica with a new log. The replica still has its stored changes, and gets those of the live
-// replicas that it can reach before it serves requests.
+// Restart starts a killed replica with a new log. The replica still has its stored changes. Before it serves requests,
+// it gets the changes of the live replicas that it can reach.
 func (s *Service) Restart(name string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +106,8 @@
 }
 
 // CutZone isolates a zone: its clients cannot reach any replica, and its replicas cannot reach those in other zones.
-// Open connections across the cut become silent permanently. New ones are silent until HealZone resets them.
+// Where the list is polled, open connections across the cut become silent permanently, and new ones from the zone are
+// silent until HealZone resets them.
 func (s *Service) CutZone(zone string) {
 	s.changeLinks(func() { s.faults.cutZones[zone] = true })
 }
--- a/internal/emulator/registry/faults_test.go
+++ b/internal/emulator/registry/faults_test.go
@@ -19,6 +19,7 @@
 // updateDeadline is the time within which every client that can reach the service gets a change.
 const updateDeadline = 6 * time.Second
 
+// watchEverywhere starts a watcher for each location of clientsOfAllZones.
 func watchEverywhere(t *testing.T, s *Service) []*watcher {
 	t.Helper()
 	var watchers []*watcher
@@ -156,7 +157,7 @@
 		defer cancel()
 		silent := make(chan error, 1)
 		go func() {
-			_, _, err := c.get(ctx, discovery.MembersPath+watchQuery(version, time.Second))
+			_, _, err := c.get(ctx, discovery.ListPath+watchQuery(version, time.Second))
 			silent <- err
 		}()
 		watchers := watchEverywhere(t, s)
@@ -195,7 +196,7 @@
 		s.SilenceWatches()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		if status, _, err := c.get(ctx, discovery.MembersPath); status != http.StatusOK {
+		if status, _, err := c.get(ctx, discovery.ListPath); status != http.StatusOK {
 			t.Errorf("status %d, error %v", status, err)
 		}
 		if n := len(s.conns); n != 1 {
@@ -236,7 +237,7 @@
 		s.CutZone("b")
 		ended := make(chan error, 1)
 		go func() {
-			_, _, err := newTestClient(s.Dialer(testList, eastClient)).get(t.Context(), discovery.MembersPath)
+			_, _, err := newTestClient(s.Dialer(testList, eastClient)).get(t.Context(), discovery.ListPath)
 			ended <- err
 		}()
 		advance(time.Hour)
@@ -308,7 +309,7 @@
 			done := make(chan outcome, 1)
 			outcomes[name] = done
 			go func() {
-				_, l, err := c.get(ctx, discovery.MembersPath+queries[name])
+				_, l, err := c.get(ctx, discovery.ListPath+queries[name])
 				done <- outcome{l, err, time.Now()}
 			}()
 		}
@@ -346,11 +347,11 @@
 		s := startService(t, oneReplicaConfig(true))
 		c := newTestClient(s.Dialer(testList, eastClient))
 		must(t, s.Kill("r1"))
-		if _, _, err := c.get(t.Context(), discovery.MembersPath); !errors.Is(err, syscall.ECONNREFUSED) {
+		if _, _, err := c.get(t.Context(), discovery.ListPath); !errors.Is(err, syscall.ECONNREFUSED) {
 			t.Errorf("got error %v, want connection refused", err)
 		}
 		must(t, s.Restart("r1"))
-		if status, _, err := c.get(t.Context(), discovery.MembersPath); status != http.StatusOK {
+		if status, _, err := c.get(t.Context(), discovery.ListPath); status != http.StatusOK {
 			t.Errorf("after the restart: status %d, error %v", status, err)
 		}
 	})
@@ -396,7 +397,7 @@
 	config.LogLimit = 8
 	s := startService(t, config)
 	watchers := watchEverywhere(t, s)
-	want := memberSet{}
+	want := endpointSet{}
 	for range 200 {
 		injectRandomFault(s, random)
 		region := []string{"east", "west"}[random.IntN(2)]
--- a/internal/emulator/registry/handler.go
+++ b/internal/emulator/registry/handler.go
@@ -76,8 +76,8 @@
 	return Unknown
 }
 
-// waitForCapacity waits until the connection's replica has served this request and all queued before it. It returns
-// false if the request is rejected because the queue is too long. Agents have no capacity limit.
+// waitForCapacity waits until the connection's replica has served this request and all requests queued before it. It
+// returns false if the request is rejected because the queue is too long. Agents have no capacity limit.
 func (s *Service) waitForCapacity(ctx context.Context, c *conn) bool {
 	if !s.config.Poll {
 		return true
--- a/internal/emulator/registry/handler_test.go
+++ b/internal/emulator/registry/handler_test.go
@@ -205,7 +205,7 @@
 				t.Errorf("%.60s: got status %d, error %v, want status %d", target, status, err, want)
 			}
 		}
-		resp, err := c.http.Post("http://registry"+discovery.MembersPath, "text/plain", strings.NewReader("x"))
+		resp, err := c.http.Post("http://registry"+discovery.ListPath, "text/plain", strings.NewReader("x"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -328,12 +328,12 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error)
 		go func() {
-			_, _, err := c.get(ctx, discovery.MembersPath+watchQuery(version, time.Minute))
+			_, _, err := c.get(ctx, discovery.ListPath+watchQuery(version, time.Minute))
 			done <- err
 		}()
 		synctest.Wait()
 		if n := len(s.conns); n != 1 {
-			t.Errorf("%d connections during a watch", n)
+			t.Errorf("%d connections during a watch, want 1", n)
 		}
 		cancel()
 		if err := <-done; err == nil {
@@ -341,7 +341,7 @@
 		}
 		synctest.Wait()
 		if n := len(s.conns); n != 0 {
-			t.Errorf("%d connections after the watch", n)
+			t.Errorf("%d connections after the watch, want 0", n)
 		}
 	})
 }
--- a/internal/emulator/registry/helpers_test.go
+++ b/internal/emulator/registry/helpers_test.go
@@ -19,7 +19,7 @@
 
 const (
 	replicationDelay = 50 * time.Millisecond
-	epsilon          = time.Millisecond
+	epsilon          = time.Millisecond // margin before or after the end of a delay
 	testList         = "checkout"
 )
 
@@ -89,10 +89,10 @@
 	}
 }
 
-// memberSet is a client's copy of an endpoint list, by endpoint name.
-type memberSet map[string]discovery.Endpoint
+// endpointSet is a client's copy of an endpoint list, by endpoint name.
+type endpointSet map[string]discovery.Endpoint
 
-func (m memberSet) apply(l *discovery.List) {
+func (m endpointSet) apply(l *discovery.List) {
 	if l.Snapshot {
 		clear(m)
 	}
@@ -107,16 +107,16 @@
 
 // watcher stores the list that a discovery client has received, and counts its updates and failures.
 type watcher struct {
-	mu       sync.Mutex
-	members  memberSet
-	updates  int
-	failures int
+	mu        sync.Mutex
+	endpoints endpointSet
+	updates   int
+	failures  int
 }
 
 // watch starts a discovery client that runs until the test ends, and returns its watcher.
 func watch(t *testing.T, s *Service, list string, location Location) *watcher {
 	t.Helper()
-	w := &watcher{members: memberSet{}}
+	w := &watcher{endpoints: endpointSet{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	updates, requests := make(chan discovery.Update), make(chan struct{}, 1)
 	client := discovery.NewClient(discovery.Options{Address: "registry:80", Known: discovery.NoVersion, Poll: s.config.Poll,
@@ -147,6 +147,7 @@
 	}
 }
 
+// apply applies an update to the watcher's list. It returns false if the update reports a failure.
 func (w *watcher) apply(u discovery.Update) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -155,24 +156,24 @@
 		return false
 	}
 	w.updates++
-	w.members.apply(u.List)
+	w.endpoints.apply(u.List)
 	return true
 }
 
 func (w *watcher) has(name string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	_, ok := w.members[name]
+	_, ok := w.endpoints[name]
 	return ok
 }
 
-func (w *watcher) snapshot() memberSet {
+func (w *watcher) snapshot() endpointSet {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return maps.Clone(w.members)
+	return maps.Clone(w.endpoints)
 }
 
-func (w *watcher) count() int {
+func (w *watcher) updateCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.updates
@@ -217,7 +218,7 @@
 // mustGet requests the list and fails the test if the response is not a list.
 func (c *testClient) mustGet(t *testing.T, query string) *discovery.List {
 	t.Helper()
-	status, list, err := c.get(t.Context(), discovery.MembersPath+query)
+	status, list, err := c.get(t.Context(), discovery.ListPath+query)
 	if err != nil || status != http.StatusOK {
 		t.Fatalf("query %q: status %d, error %v", query, status, err)
 	}
--- a/internal/emulator/registry/listen_test.go
+++ b/internal/emulator/registry/listen_test.go
@@ -43,13 +43,13 @@
 	<-arrived
 	ended := make(chan error, 1)
 	go func() {
-		_, _, err := c.get(t.Context(), discovery.MembersPath+watchQuery(version, time.Minute))
+		_, _, err := c.get(t.Context(), discovery.ListPath+watchQuery(version, time.Minute))
 		ended <- err
 	}()
 	<-arrived
 	must(t, s.Kill("r1"))
 	if err := <-ended; !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the watch ended with %v", err)
+		t.Errorf("the watch ended with %v, want a connection reset", err)
 	}
 	publish(t, s, "east", serving("s-1"))
 	if l := c.mustGet(t, watchQuery(version, time.Minute)); !l.Snapshot || len(l.Endpoints) != 1 {
@@ -74,8 +74,8 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			var running sync.WaitGroup
 			running.Go(func() { client.Run(ctx) })
-			have := memberSet{}
-			waitForMember := func(name string) {
+			have := endpointSet{}
+			waitForEndpoint := func(name string) {
 				for have[name].Name == "" {
 					if u := <-updates; u.List != nil {
 						have.apply(u.List)
@@ -85,10 +85,10 @@
 				}
 			}
 			publish(t, s, "east", serving("s-1"))
-			waitForMember("s-1")
+			waitForEndpoint("s-1")
 			must(t, s.Kill("r1"))
 			publish(t, s, "west", serving("s-2"))
-			waitForMember("s-2")
+			waitForEndpoint("s-2")
 			cancel()
 			running.Wait()
 			s.Close()
@@ -126,7 +126,8 @@
 	received.Wait()
 }
 
-// BenchmarkChange measures a change from publishing until 970 in-memory clients have it, including the cost of the clients.
+// BenchmarkChange measures the time from publishing a change until 970 in-memory clients have it. It includes the cost of
+// the clients.
 func BenchmarkChange(b *testing.B) {
 	const clients = 970
 	config := testConfig(false)
@@ -147,7 +148,7 @@
 		running.Go(func() {
 			version := int64(0)
 			for {
-				_, l, err := c.get(ctx, discovery.MembersPath+watchQuery(version, time.Minute))
+				_, l, err := c.get(ctx, discovery.ListPath+watchQuery(version, time.Minute))
 				if err != nil {
 					return // the benchmark is over
 				}
--- a/internal/emulator/registry/memberlist.go
+++ b/internal/emulator/registry/memberlist.go
@@ -23,8 +23,8 @@
 	completeThrough int64  // of the list at the version before this entry
 }
 
-// memberList is one replica's copy of an endpoint list, with a log of the changes since the replica's start.
-type memberList struct {
+// endpointList is one replica's copy of an endpoint list, with a log of the changes since the replica's start.
+type endpointList struct {
 	epoch        int64
 	logLimit     int // maximum number of entries in the log
 	records      map[string]record
@@ -35,32 +35,32 @@
 	entries      []logEntry
 	changed      chan struct{} // closed and replaced at each new version
 
-	snapshot       []byte // the encoded list at this version; nil: not encoded yet
+	snapshot       []byte // the encoded list at the current version; nil: not encoded yet
 	encodedChanges []byte // the encoded changes since changesFrom; nil: not encoded yet
 	changesFrom    int64
 }
 
-func newMemberList(epoch int64, limit int) *memberList {
-	return &memberList{epoch: epoch, logLimit: limit, records: map[string]record{}, changed: make(chan struct{})}
+func newEndpointList(epoch int64, limit int) *endpointList {
+	return &endpointList{epoch: epoch, logLimit: limit, records: map[string]record{}, changed: make(chan struct{})}
 }
 
 // resetLog starts a new log at the current contents of the list.
-func (l *memberList) resetLog(epoch int64) {
+func (l *endpointList) resetLog(epoch int64) {
 	l.epoch, l.baseSequence, l.entries = epoch, 0, nil
 	l.clearEncoded()
 }
 
-func (l *memberList) version() int64 {
+func (l *endpointList) version() int64 {
 	return l.epoch<<sequenceBits + l.baseSequence + int64(len(l.entries))
 }
 
 // covers reports whether the log contains all changes since a version.
-func (l *memberList) covers(version int64) bool {
+func (l *endpointList) covers(version int64) bool {
 	return version >= l.epoch<<sequenceBits+l.baseSequence && version <= l.version()
 }
 
 // completeThrough returns the change number up to which this copy has every accepted change of the list.
-func (l *memberList) completeThrough() int64 {
+func (l *endpointList) completeThrough() int64 {
 	if len(l.missing) > 0 {
 		return l.missing[0] - 1
 	}
@@ -68,7 +68,7 @@
 }
 
 // completeThroughAt returns completeThrough as of a version, or Unknown if the log does not cover the version.
-func (l *memberList) completeThroughAt(version int64) int64 {
+func (l *endpointList) completeThroughAt(version int64) int64 {
 	switch {
 	case !l.covers(version):
 		return Unknown
@@ -80,32 +80,32 @@
 }
 
 // logIndex returns the index in entries of the first log entry after a version that the log covers.
-func (l *memberList) logIndex(version int64) int64 {
+func (l *endpointList) logIndex(version int64) int64 {
 	return version - l.epoch<<sequenceBits - l.baseSequence
 }
 
 // expectChange records that a change was accepted by some replica and has yet to be applied here.
-func (l *memberList) expectChange(number int64) {
+func (l *endpointList) expectChange(number int64) {
 	l.missing = append(l.missing, number)
 	l.lastAccepted = number
 }
 
 // apply applies a change unless the list already has it. Endpoints with a later change keep that change.
-func (l *memberList) apply(number int64, endpoints []discovery.Endpoint) {
+func (l *endpointList) apply(number int64, endpoints []discovery.Endpoint) {
 	index, isMissing := slices.BinarySearch(l.missing, number)
 	if !isMissing {
 		return
 	}
-	newer := make([]record, 0, len(endpoints))
+	records := make([]record, 0, len(endpoints))
 	for _, e := range endpoints {
-		newer = append(newer, record{endpoint: e, number: number})
+		records = append(records, record{endpoint: e, number: number})
 	}
-	l.store(newer)
+	l.store(records)
 	l.missing = slices.Delete(l.missing, index, index+1)
 }
 
 // merge applies all changes that another replica's copy of the list has.
-func (l *memberList) merge(peer *memberList) {
+func (l *endpointList) merge(peer *endpointList) {
 	newer := make([]record, 0)
 	for name, r := range peer.records {
 		if r.number > l.records[name].number {
@@ -123,7 +123,7 @@
 }
 
 // store stores and logs those records that are newer than the list's record of the same endpoint.
-func (l *memberList) store(records []record) {
+func (l *endpointList) store(records []record) {
 	before := l.version()
 	for _, r := range records {
 		name := r.endpoint.Name
@@ -145,7 +145,7 @@
 }
 
 // dropTombstones removes the tombstones of changes numbered up to replicatedThrough, which every replica has.
-func (l *memberList) dropTombstones(replicatedThrough int64) {
+func (l *endpointList) dropTombstones(replicatedThrough int64) {
 	for name, r := range l.records {
 		if r.endpoint.Status == discovery.Deleted && r.number <= replicatedThrough {
 			delete(l.records, name)
@@ -153,10 +153,10 @@
 	}
 }
 
-func (l *memberList) clearEncoded() { l.snapshot, l.encodedChanges = nil, nil }
+func (l *endpointList) clearEncoded() { l.snapshot, l.encodedChanges = nil, nil }
 
 // encodeSnapshot returns the complete list in wire format.
-func (l *memberList) encodeSnapshot() []byte {
+func (l *endpointList) encodeSnapshot() []byte {
 	if l.snapshot == nil {
 		endpoints := make([]discovery.Endpoint, 0, len(l.records))
 		for _, r := range l.records {
@@ -172,7 +172,7 @@
 
 // encodeChanges returns the current state of each endpoint that changed since a version, in wire format. The log must
 // cover the version.
-func (l *memberList) encodeChanges(from int64) []byte {
+func (l *endpointList) encodeChanges(from int64) []byte {
 	if l.encodedChanges == nil || l.changesFrom != from {
 		list := &discovery.List{Index: l.version(), Endpoints: l.changedSince(from)}
 		l.encodedChanges, l.changesFrom = encode(list), from
@@ -180,7 +180,7 @@
 	return l.encodedChanges
 }
 
-func (l *memberList) changedSince(from int64) []discovery.Endpoint {
+func (l *endpointList) changedSince(from int64) []discovery.Endpoint {
 	endpoints := []discovery.Endpoint{}
 	seen := map[string]bool{}
 	for _, entry := range l.entries[l.logIndex(from):] {
--- a/internal/emulator/registry/registry_test.go
+++ b/internal/emulator/registry/registry_test.go
@@ -16,7 +16,7 @@
 			others = append(others, watch(t, s, "search", location))
 		}
 		advance(100 * time.Millisecond)
-		before := others[0].count()
+		before := others[0].updateCount()
 		publish(t, s, "east", serving("s-1"))
 		advance(replicationDelay + epsilon)
 		for i, w := range watchers {
@@ -25,7 +25,7 @@
 			}
 		}
 		for i, w := range others {
-			if n := w.count(); n != before {
+			if n := w.updateCount(); n != before {
 				t.Errorf("watcher %d of another list got %d updates", i, n-before)
 			}
 		}
--- a/internal/emulator/registry/replica.go
+++ b/internal/emulator/registry/replica.go
@@ -8,21 +8,22 @@
 	live     bool
 	epoch    int64 // of its last start
 	logLimit int
-	lists    map[string]*memberList
+	lists    map[string]*endpointList
 	load     int       // number of connections where the list is polled, otherwise of attached agents
 	idleAt   time.Time // when it will have served all queued requests
 	usage    usage
 }
 
 func newReplica(config ReplicaConfig, epoch int64, logLimit int) *replica {
-	return &replica{ReplicaConfig: config, live: true, epoch: epoch, logLimit: logLimit, lists: map[string]*memberList{}}
+	return &replica{ReplicaConfig: config, live: true, epoch: epoch, logLimit: logLimit,
+		lists: map[string]*endpointList{}}
 }
 
-// list returns the replica's copy of a list, empty if nothing has been published on it.
-func (r *replica) list(name string) *memberList {
+// list returns the replica's copy of a list, which is empty if nothing has been published to the list.
+func (r *replica) list(name string) *endpointList {
 	l, ok := r.lists[name]
 	if !ok {
-		l = newMemberList(r.epoch, r.logLimit)
+		l = newEndpointList(r.epoch, r.logLimit)
 		r.lists[name] = l
 	}
 	return l
--- a/internal/emulator/registry/request.go
+++ b/internal/emulator/registry/request.go
@@ -33,7 +33,7 @@
 
 // parseRequest validates an HTTP request and parses its query.
 func parseRequest(r *http.Request) (listRequest, *requestError) {
-	if r.URL.Path != discovery.MembersPath {
+	if r.URL.Path != discovery.ListPath {
 		return listRequest{}, &requestError{http.StatusNotFound, fmt.Sprintf("unknown path %q", r.URL.Path)}
 	}
 	if r.Method != http.MethodGet {
--- a/internal/emulator/registry/service.go
+++ b/internal/emulator/registry/service.go
@@ -1,7 +1,7 @@
 // Package registry emulates the discovery service: replicas that store endpoint lists, replicate changes and serve
 // clients in wire format, over loopback TCP or in memory. It counts the replicas' load and injects faults.
 //
-// A change is accepted by one replica and is durable from then on. It reaches each other replica after the replication
+// A change is accepted by one replica and is durable from then on. It reaches every other replica after the replication
 // delay, or once that replica is live and reachable. If two changes affect the same endpoint, the one accepted later
 // wins on every replica. A version is valid only for one replica's log since the replica's last start: a client that
 // moves to another replica gets a snapshot, so that it misses no change. Each address serves one list, and the versions
@@ -68,8 +68,8 @@
 // Change identifies a change that the service has accepted.
 type Change struct {
 	List   string
-	Number int64 // sequence number among the accepted changes of all lists, from 1
-	At     time.Time
+	Number int64     // the accepted changes of all lists are numbered together, from 1
+	At     time.Time // when it was accepted
 }
 
 // Observation reports which changes of a list a client has, derived from the version in one of its requests.
@@ -78,7 +78,7 @@
 	// CompleteThrough is the change number up to which the client has every accepted change of the list. It is Unknown
 	// if the request has no version, or one that no replica's log covers.
 	CompleteThrough int64
-	At              time.Time
+	At              time.Time // when the request arrived
 }
 
 // Service is the emulated discovery service: its replicas, its clients and the active faults.
@@ -87,7 +87,7 @@
 	server         *http.Server
 	memoryListener *memoryListener
 	closed         chan struct{}
-	running        sync.WaitGroup // accept loops and the HTTP server's connections
+	running        sync.WaitGroup // accept loops, the HTTP server and its connections
 
 	mu              sync.Mutex // guards the fields below and the state of replicas and clients
 	replicas        []*replica
--- a/internal/scale/ramp/ramp.go
+++ b/internal/scale/ramp/ramp.go
@@ -169,7 +169,7 @@
 	capacity := warmRate * float64(p.backends) * p.before.Seconds()
 	add("calls before, over the capacity of all", "part", float64(calls)/capacity, nil, calls)
 	cold := m.counts.ColdArrivals
-	add("worst window of a cold backend over what it bears", "part", m.counts.ColdPeakLoad, scale.Target(1), cold)
+	add("worst window of a cold backend over what it bears", "part", m.counts.ColdPeakThresholdRatio, scale.Target(1), cold)
 	add("the same with nothing allowed for chance", "part", m.counts.ColdPeakSustainableRatio, nil, cold)
 	add("cold backends that fell", "backends", float64(m.counts.OverloadCrashes), scale.Target(0), cold)
 	for _, ph := range []struct {
--- a/internal/scale/ramp/ramp_test.go
+++ b/internal/scale/ramp/ramp_test.go
@@ -36,8 +36,8 @@
 		t.Run(c.String(), func(t *testing.T) {
 			m := measureSmall(t, c)
 			counts := m.counts
-			if counts.ColdPeakLoad > 1 || counts.ColdPeakSustainableRatio <= 0 || counts.OverloadCrashes != 0 ||
-				counts.ColdArrivals == 0 || counts.Reset == 0 {
+			if counts.ColdPeakThresholdRatio > 1 || counts.ColdPeakSustainableRatio <= 0 ||
+				counts.OverloadCrashes != 0 || counts.ColdArrivals == 0 || counts.Reset == 0 {
 				t.Errorf("got counts %+v", counts)
 			}
 			if m.before.servedRatio() < 0.99 || m.outage.servedRatio() < 0.95 || m.recovery.servedRatio() < 0.99 {
@@ -57,8 +57,8 @@
 	c := scenario{proxies: 33, coldZone: true, load: 0.6, overloadFactor: 3}
 	if first, second := measureSmall(t, c), measureSmall(t, c); first.before != second.before ||
 		first.outage != second.outage || first.recovery != second.recovery ||
-		first.counts.ColdPeakLoad != second.counts.ColdPeakLoad || first.counts.Arrivals != second.counts.Arrivals ||
-		first.counts.Served != second.counts.Served {
+		first.counts.ColdPeakThresholdRatio != second.counts.ColdPeakThresholdRatio ||
+		first.counts.Arrivals != second.counts.Arrivals || first.counts.Served != second.counts.Served {
 		t.Errorf("two runs with the same seed differ:\n%+v\n%+v", first, second)
 	}
 }
@@ -67,7 +67,7 @@
 func TestFiguresShowOverloadedBackend(t *testing.T) {
 	c := scenario{proxies: 33, load: 0.6, overloadFactor: 0.02}
 	m := measureSmall(t, c)
-	if m.counts.OverloadCrashes != 1 || m.counts.ColdPeakLoad <= 1 {
+	if m.counts.OverloadCrashes != 1 || m.counts.ColdPeakThresholdRatio <= 1 {
 		t.Errorf("got counts %+v", m.counts)
 	}
 	missed := 0
