--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -138,7 +138,7 @@
 	}
 	b.tierLimit.acquire()
 	req.classState.limit.acquire()
-	a.inFlight = true
+	a.countedInFlight = true
 }
 
 // RequestUploaded handles the end of a streamed request's upload; deadline is the time at which the client
@@ -156,8 +156,8 @@
 	}
 }
 
-// ResponseStarted handles the start of a streamed response. The client receives the response of this attempt,
-// so the request is not retried.
+// ResponseStarted handles the start of a streamed response. The client is already receiving this response, so
+// the request is no longer retried, rejected or failed.
 func (b *Balancer) ResponseStarted(_ Microseconds, id string) {
 	if req := b.requests[id]; req != nil {
 		req.done = true
@@ -213,7 +213,7 @@
 	}
 	a.endpoint.inFlight--
 	req.outstanding--
-	if a.inFlight {
+	if a.countedInFlight {
 		b.tierLimit.release()
 		req.classState.limit.release()
 	}
--- a/balancer/crosszone.go
+++ b/balancer/crosszone.go
@@ -1,8 +1,8 @@
 package balancer
 
 const (
-	initialCrossZoneWeight = 0.3  // initially at the front tier, when it is unknown whether the zone copes
-	minCrossZoneWeight     = 0.02 // while the own zone copes; also initially behind the front tier
+	initialCrossZoneWeight = 0.3  // initial weight at the front tier, as it is unknown if the own zone copes
+	minCrossZoneWeight     = 0.02 // bound while the own zone copes; also initial weight behind the front tier
 	crossZoneIncrease      = 0.15 // added after a round in which the own zone was slow or failing
 	crossZoneDecay         = 0.9  // multiplier after a healthy round
 )
@@ -21,7 +21,8 @@
 	return zonePreference{crossZoneWeight: initialCrossZoneWeight}
 }
 
-// adjust adds the sample of a call within the own zone, and changes the weight when that completes a round.
+// adjust adds the sample of a call within the proxy's own zone, and changes the weight when that completes a
+// round.
 func (z *zonePreference) adjust(now Microseconds, s sample) {
 	switch signal, _ := z.evidence.add(now, s); signal {
 	case signalPending:
--- a/balancer/crosszone_test.go
+++ b/balancer/crosszone_test.go
@@ -14,7 +14,7 @@
 		for range rounds * minRoundSamples {
 			now++
 			a := &attempt{class: &b.settings.Classes[0], sentAt: now, zone: b.settings.Zone}
-			b.applyBackpressure(now, class, a, callResult{slow: slow, speed: speedOf(false, !slow)})
+			b.applyBackpressure(now, class, a, callObservation{slow: slow, speed: speedOf(false, !slow)})
 		}
 	}
 	addRounds(60, false)
--- a/balancer/deadline.go
+++ b/balancer/deadline.go
@@ -1,8 +1,8 @@
 package balancer
 
 const (
-	minRemainingMeanLatencies   = 0.5  // mean latencies of its class that must remain for a request
-	attemptTimeoutMeanLatencies = 12.0 // mean latencies after which an attempt times out if it can be retried
+	minRemainingMeanLatencies   = 0.5  // a request needs this many mean latencies of its class to be sent
+	attemptTimeoutMeanLatencies = 12.0 // a retryable attempt times out after this many
 )
 
 // deadline returns the time after which a response is of no value to the client of this proxy.
--- a/balancer/driver_test.go
+++ b/balancer/driver_test.go
@@ -72,8 +72,8 @@
 	d.balancer.UpdateEndpoints(d.now, d.checker, IncrementalUpdate, []Endpoint{e})
 }
 
-// newRequest has a request arrive.
-func (d *driver) newRequest() {
+// arrive has a request arrive.
+func (d *driver) arrive() {
 	d.requestCount++
 	settings := &d.checker.settings
 	r := Request{
@@ -188,7 +188,7 @@
 	d.fireDue()
 	switch x := d.random.IntN(1000); {
 	case x < 450:
-		d.newRequest()
+		d.arrive()
 	case x < 900:
 		d.endOpenRequest()
 	case x < 930:
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -4,7 +4,7 @@
 type endpoint struct {
 	Endpoint
 	ringPosition          uint64
-	inFlight              int              // attempts of this replica that have not ended
+	inFlight              int              // attempts of this replica that have not ended, including uploads
 	relativeLatency       float64          // moving average over successes, relative to the class's mean
 	overall               endpointHealth   // applies to all classes
 	perClass              []endpointHealth // indexed by classState.slot
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -5,9 +5,9 @@
 
 // The states of an endpoint.
 const (
-	Removed EndpointState = iota
-	Ready
-	Draining
+	Removed  EndpointState = iota // no longer listed
+	Ready                         // may get attempts
+	Draining                      // listed, but gets no new attempts
 )
 
 // Endpoint is an entry of the endpoint list.
--- a/balancer/evidence_test.go
+++ b/balancer/evidence_test.go
@@ -33,7 +33,11 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			round := evidenceRound{allowedBad: maxBadFraction, minDuration: 5 * second, start: c.start}
+			round := evidenceRound{
+				allowedBadFraction: maxBadFraction,
+				minDuration:        5 * second,
+				start:              c.start,
+			}
 			for i, s := range c.steps {
 				if signal, _ := round.add(s.now, s.sample); signal != s.want {
 					t.Errorf("sample %d: signal %v, want %v", i, signal, s.want)
@@ -55,11 +59,11 @@
 		{"good samples", repeat(good, 12), signalHealthy, 1},
 		{"slow samples", repeat(slow, 5), signalOverloaded, 1 - decreaseFactor*5/6},
 		{"slow among good samples", append(repeat(good, 3), repeat(slow, 5)...), signalFaulty, 1 - decreaseFactor*5/8},
-		{"failures without fast answers", repeat(failed, 5), signalOverloaded, 1 - decreaseFactor*5/6},
+		{"failures without fast responses", repeat(failed, 5), signalOverloaded, 1 - decreaseFactor*5/6},
 		{"late but fast samples", repeat(fast, 5), signalFaulty, 1 - decreaseFactor*5/6},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			round := evidenceRound{allowedBad: maxBadFraction, minDuration: 5 * second}
+			round := evidenceRound{allowedBadFraction: maxBadFraction, minDuration: 5 * second}
 			last := len(c.samples) - 1
 			for _, s := range c.samples[:last] {
 				if signal, factor := round.add(testStart, s); signal != signalPending || factor != 1 {
--- a/balancer/feedback.go
+++ b/balancer/feedback.go
@@ -1,11 +1,17 @@
 package balancer
 
 const (
-	lateFraction          = 0.8 // of the latency objective: slower calls count against tier and class limits
-	slowFraction          = 0.6 // of the latency objective: slower calls lower quotas before they are late
-	unloadedSlowFactor    = 1.6 // times the latency without load: slower calls lower the quotas too
-	minUnloadedMultiplier = 0.8 // but only above this multiplier: otherwise load is not what makes calls slow
-	preemptionRatio       = 1.5 // a class preempts classes whose priority is lower by more than this factor
+	// A call is late above lateFraction of the latency objective: it counts against tier and class limits.
+	lateFraction = 0.8
+	// A call is slow above slowFraction of the latency objective: it lowers the quotas before calls are late.
+	slowFraction = 0.6
+	// At the front tier, a call is also slow above unloadedSlowFactor times the latency without load, but
+	// only while the quota multiplier is above unloadedSlowMinMultiplier: otherwise, load is not what makes
+	// calls slow.
+	unloadedSlowFactor        = 1.6
+	unloadedSlowMinMultiplier = 0.8
+	// A class preempts classes whose priority is lower by more than the factor preemptionRatio.
+	preemptionRatio = 1.5
 )
 
 // recordOutcome updates the endpoint's health, the latency estimates, the limits, the quotas and the zone
@@ -27,17 +33,17 @@
 	b.tierLimit.adjust(&b.tierLimit.evidence, now, lateSample)
 	class.limit.adjust(&class.limit.evidence, now, lateSample)
 	if !a.countedSlow {
-		b.applyBackpressure(now, class, a, callResult{slow: slow, failed: failed, speed: speed})
+		b.applyBackpressure(now, class, a, callObservation{slow: slow, failed: failed, speed: speed})
 	}
 }
 
 // slowThreshold returns the latency in microseconds above which a call counts as slow. It is slowFraction of
 // the latency objective or, if that is less, unloadedSlowFactor times the latency without load. The latter
-// applies only at the front tier, and only while the quota multiplier is above minUnloadedMultiplier.
+// applies only at the front tier, and only while the quota multiplier is above unloadedSlowMinMultiplier.
 func (b *Balancer) slowThreshold(c *Class, class *classState) float64 {
 	threshold := slowFraction * float64(c.LatencyObjective)
 	unloaded := unloadedSlowFactor * class.latency.unloaded
-	if b.settings.Tier > 0 || b.quotas.multiplier <= minUnloadedMultiplier || threshold < unloaded {
+	if b.settings.Tier > 0 || b.quotas.multiplier <= unloadedSlowMinMultiplier || threshold < unloaded {
 		return threshold
 	}
 	return unloaded
@@ -52,9 +58,9 @@
 	return c.PriorityWeight / class.latency.unloaded
 }
 
-// callResult is the observation of a call at its end or while it is outstanding.
-type callResult struct {
-	slow   bool // above the slow threshold, or late
+// callObservation is what is known about a call when it ends or, if earlier, when it becomes slow.
+type callObservation struct {
+	slow   bool // above slowThreshold, or late
 	failed bool
 	speed  responseSpeed
 }
@@ -63,9 +69,9 @@
 // classes with clearly lower priority, the tenants' quotas and the preference for the proxy's own zone. Only
 // a call that is close to its latency objective preempts other classes; one that is merely slower than
 // without load does not.
-func (b *Balancer) applyBackpressure(now Microseconds, class *classState, a *attempt, result callResult) {
+func (b *Balancer) applyBackpressure(now Microseconds, class *classState, a *attempt, call callObservation) {
 	nearObjective := float64(now-a.sentAt) > slowFraction*float64(a.class.LatencyObjective)
-	preemptionSample := sample{sentAt: a.sentAt, bad: result.slow && nearObjective, speed: result.speed}
+	preemptionSample := sample{sentAt: a.sentAt, bad: call.slow && nearObjective, speed: call.speed}
 	priority := b.priorityPerWork(a.class, class)
 	for i, other := range b.classes {
 		preempts := priority > preemptionRatio*b.priorityPerWork(&b.settings.Classes[i], other)
@@ -74,9 +80,9 @@
 			other.limit.adjust(&other.preemptionEvidence, now, preemptionSample)
 		}
 	}
-	b.quotas.adjust(now, sample{sentAt: a.sentAt, bad: result.slow, speed: result.speed})
+	b.quotas.adjust(now, sample{sentAt: a.sentAt, bad: call.slow, speed: call.speed})
 	if a.zone == b.settings.Zone {
-		b.zones.adjust(now, sample{sentAt: a.sentAt, bad: result.slow || result.failed, speed: result.speed})
+		b.zones.adjust(now, sample{sentAt: a.sentAt, bad: call.slow || call.failed, speed: call.speed})
 	}
 }
 
@@ -88,9 +94,9 @@
 	}
 }
 
-// countSlowAttemptsInClass does the same for the calls of one class.
+// countSlowAttemptsInClass is countSlowAttempts for the calls of one class.
 func (b *Balancer) countSlowAttemptsInClass(now Microseconds, class *classState) {
-	var thresholdClass *Class // that threshold was computed for: a class's settings may have changed
+	var thresholdClass *Class // threshold was computed for it: a class's settings may have changed
 	threshold := Microseconds(0)
 	for len(class.notYetSlow) > 0 {
 		a := class.notYetSlow[0]
@@ -103,26 +109,26 @@
 		class.notYetSlow = class.notYetSlow[1:]
 		if a.outstanding {
 			a.countedSlow = true
-			b.applyBackpressure(now, class, a, callResult{slow: true, speed: slowResponse})
+			b.applyBackpressure(now, class, a, callObservation{slow: true, speed: slowResponse})
 		}
 	}
 }
 
 // configureEvidence applies the settings to the floors of the limits and to all rounds of evidence.
 func (b *Balancer) configureEvidence() {
-	allowedBad, floor, longest := maxBadFraction, minLimit, Microseconds(0)
+	allowedBadFraction, floor, longest := maxBadFraction, minLimit, Microseconds(0)
 	if b.settings.Tier > 0 {
-		allowedBad, floor = innerMaxBadFraction, innerMinLimit
+		allowedBadFraction, floor = innerMaxBadFraction, innerMinLimit
 	}
 	for i, state := range b.classes {
 		duration := minDurationObjectives * b.settings.Classes[i].LatencyObjective
 		longest = max(longest, duration)
 		state.limit.floor = floor
-		state.limit.evidence.configure(allowedBad, duration)
+		state.limit.evidence.configure(allowedBadFraction, duration)
 		state.preemptionEvidence.configure(maxSlowFraction, duration)
 	}
 	b.tierLimit.floor = floor
-	b.tierLimit.evidence.configure(allowedBad, longest)
+	b.tierLimit.evidence.configure(allowedBadFraction, longest)
 	b.quotas.evidence.configure(maxSlowFraction, longest)
 	b.zones.evidence.configure(maxSlowFraction, longest)
 }
--- a/balancer/feedback_test.go
+++ b/balancer/feedback_test.go
@@ -19,17 +19,17 @@
 		for range 4 * minRoundSamples {
 			now += 2 * nearObjective
 			a := &attempt{class: &b.settings.Classes[class], sentAt: now - nearObjective}
-			b.applyBackpressure(now, b.classes[class], a, callResult{slow: true, speed: slowResponse})
+			b.applyBackpressure(now, b.classes[class], a, callObservation{slow: true, speed: slowResponse})
 		}
 	}
 	feedSlow(1)
 	if lowPriority.max > 10 || highPriority.max != initialLimit {
-		t.Errorf("limits %v and %v after slow calls of the class with higher priority",
+		t.Errorf("limits %v and %v after slow calls of the higher priority, want only the first reduced",
 			lowPriority.max, highPriority.max)
 	}
 	feedSlow(0)
 	if highPriority.max != initialLimit {
-		t.Errorf("slow calls of the class with lower priority reduced the other limit to %v",
+		t.Errorf("slow calls of the class with lower priority reduced the other class's limit to %v",
 			highPriority.max)
 	}
 }
@@ -64,9 +64,9 @@
 	}
 }
 
-// newTwoClasses returns a Balancer with a class of low and a class of high priority, each with calls in
+// newWithTwoClasses returns a Balancer with a class of low and a class of high priority, each with calls in
 // flight.
-func newTwoClasses(t *testing.T) (b *Balancer, low, high *classState) {
+func newWithTwoClasses(t *testing.T) (b *Balancer, low, high *classState) {
 	t.Helper()
 	s := testSettings()
 	s.Classes = s.Classes[:2]
@@ -95,10 +95,11 @@
 		{"outstanding far from its objective", objective / 4, true, false, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b, low, _ := newTwoClasses(t)
+			b, low, _ := newWithTwoClasses(t)
 			feed := func() {
 				a := &attempt{class: &b.settings.Classes[1], sentAt: testStart, outstanding: c.outstanding}
-				b.applyBackpressure(testStart+c.latency, b.classes[1], a, callResult{slow: true, speed: slowResponse})
+				b.applyBackpressure(testStart+c.latency, b.classes[1], a,
+					callObservation{slow: true, speed: slowResponse})
 			}
 			feed()
 			if got := low.preemptionEvidence.samples; got != c.samples {
@@ -118,9 +119,10 @@
 func TestApplyBackpressureAdjustsZonePreferenceByOwnZoneOnly(t *testing.T) {
 	for zone, want := range []int{1, 0} {
 		t.Run(fmt.Sprint("zone ", zone), func(t *testing.T) {
-			b, _, _ := newTwoClasses(t)
+			b, _, _ := newWithTwoClasses(t)
 			a := &attempt{class: &b.settings.Classes[0], sentAt: testStart, zone: zone}
-			b.applyBackpressure(testStart+1000, b.classes[0], a, callResult{failed: true, speed: noResponse})
+			b.applyBackpressure(testStart+1000, b.classes[0], a,
+				callObservation{failed: true, speed: noResponse})
 			if got := b.zones.evidence.bad; got != want {
 				t.Errorf("%d bad samples, want %d", got, want)
 			}
@@ -153,7 +155,7 @@
 	}{
 		{"fast without load", 0, 1, 100_000, unloadedSlowFactor * 100_000},
 		{"slow without load", 0, 1, 400_000, slowFraction * objective},
-		{"quotas reduced", 0, minUnloadedMultiplier, 100_000, slowFraction * objective},
+		{"quotas reduced", 0, unloadedSlowMinMultiplier, 100_000, slowFraction * objective},
 		{"behind the front tier", 1, 1, 100_000, slowFraction * objective},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/balancer/handover.go
+++ b/balancer/handover.go
@@ -28,7 +28,7 @@
 	StartedAt       Microseconds `json:"launched"` // identifies the process
 	RelativeLatency float64      `json:"slowness"` // relative to the class's mean over all endpoints
 	Health          float64      `json:"left"`     // multiplies its weight for all classes
-	ClassHealth     []float64    `json:"classes"`  // the same by class, in the order of LearnedState.Classes
+	ClassHealth     []float64    `json:"classes"`  // health for a class, in the order of LearnedState.Classes
 }
 
 // ExportState returns the state that the Balancer has learned so far.
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -10,13 +10,13 @@
 // testStart is the time of the first event in tests.
 const testStart = Microseconds(1_000_000_000)
 
-// The classes of testSettings.
+// The classes of testSettings. Requests of the three dedup classes carry an idempotency key.
 const (
 	idempotentClass = iota
-	keyedByCellClass
+	cellDedupClass
 	notIdempotentClass
-	keyedByTierClass
-	keyedByZoneClass
+	tierDedupClass
+	zoneDedupClass
 )
 
 // recorder is a Host that records the calls of its methods.
@@ -78,10 +78,10 @@
 	const window = 300_000
 	for _, c := range []Class{
 		idempotentClass:    {Idempotency: Idempotent},
-		keyedByCellClass:   {Idempotency: IdempotentWithKey, DedupScope: DedupCell, DedupWindow: window},
+		cellDedupClass:     {Idempotency: IdempotentWithKey, DedupScope: DedupCell, DedupWindow: window},
 		notIdempotentClass: {Idempotency: NotIdempotent, DedupWindow: window},
-		keyedByTierClass:   {Idempotency: IdempotentWithKey, DedupScope: DedupTier, DedupWindow: window},
-		keyedByZoneClass:   {Idempotency: IdempotentWithKey, DedupScope: DedupZone, DedupWindow: window},
+		tierDedupClass:     {Idempotency: IdempotentWithKey, DedupScope: DedupTier, DedupWindow: window},
+		zoneDedupClass:     {Idempotency: IdempotentWithKey, DedupScope: DedupZone, DedupWindow: window},
 	} {
 		c.LatencyObjective, c.Deadline, c.PriorityWeight, c.LateFraction = 500_000, 1_500_000, 1, 0.3
 		s.Classes = append(s.Classes, c)
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -4,7 +4,7 @@
 	initialMeanFraction = 0.25  // initial estimate of the mean, as a fraction of the latency objective
 	initialMeanSamples  = 4.0   // number of successes that the initial estimate counts as
 	meanLatencyGain     = 0.05  // gain of the mean latency
-	unloadedLatencyGain = 0.001 // gain of the latency without load upwards; it follows downwards at once
+	unloadedLatencyGain = 0.001 // gain with which the latency without load rises; it falls at once
 	relativeLatencyGain = 0.1   // gain of an endpoint's latency relative to the mean
 	maxRelativeLatency  = 5.0   // upper bound of the relative latency of a single success
 )
@@ -23,8 +23,8 @@
 }
 
 // record adds the latency of a successful call to the estimates of the class and of the endpoint. The
-// endpoint's latency relative to the class's mean is averaged rather than summed up: otherwise, wherever load
-// does not slow it down, a single endpoint would get all calls.
+// endpoint's latency relative to the class's mean is averaged rather than summed up: with a sum, a single
+// endpoint would get all calls wherever load does not slow that endpoint down.
 func (l *latencyEstimate) record(ep *endpoint, latency float64) {
 	ratio := min(latency/max(l.mean, 1), maxRelativeLatency)
 	ep.relativeLatency += (ratio - ep.relativeLatency) * relativeLatencyGain
--- a/balancer/limit.go
+++ b/balancer/limit.go
@@ -1,15 +1,18 @@
 package balancer
 
 const (
-	initialLimit          = 1e6 // before the first round completes, so that a new replica rejects nothing
-	minLimit              = 0.3 // some calls must still be sent to produce new evidence
-	innerMinLimit         = 8.0 // the same behind the front tier, where rejecting wastes work already done
-	maxBadFraction        = 0.4 // a round with a larger fraction of late or failed calls is bad
-	innerMaxBadFraction   = 0.7 // the same behind the front tier
-	limitIncrease         = 1.0 // calls added after a good round
+	initialLimit          = 1e6 // until the first round completes, so that a new replica rejects nothing
+	minLimit              = 0.3 // lower bound at the front tier: calls must be sent to produce new evidence
+	innerMinLimit         = 8.0 // lower bound behind the front tier, where rejecting wastes work already done
+	maxBadFraction        = 0.4 // at the front tier, at most this fraction of a good round is late or fails
+	innerMaxBadFraction   = 0.7 // behind the front tier, at most this fraction of it is late or fails
+	limitIncrease         = 1.0 // number of calls added to the limit after a round without overload
 	relativeLimitIncrease = 0.2 // upper bound of this increase, as a fraction of the limit
-	limitHeadroomFactor   = 1.5 // a good round caps the limit at this multiple of the peak in flight
-	limitHeadroom         = 4.0 // plus this many calls: a limit far above use does not protect from bursts
+
+	// After a round without overload, the limit is at most limitHeadroomFactor times the peak of the calls in
+	// flight, plus limitHeadroom calls: a limit far above the usage does not protect from bursts.
+	limitHeadroomFactor = 1.5
+	limitHeadroom       = 4.0
 )
 
 // concurrencyLimit limits the calls in flight (a rule of thread grade, in Sentinel's terms). It adapts the
--- a/balancer/limit_test.go
+++ b/balancer/limit_test.go
@@ -43,7 +43,7 @@
 
 func newLimit() concurrencyLimit {
 	return concurrencyLimit{max: initialLimit, floor: minLimit,
-		evidence: evidenceRound{allowedBad: maxBadFraction, minDuration: second}}
+		evidence: evidenceRound{allowedBadFraction: maxBadFraction, minDuration: second}}
 }
 
 func TestConcurrencyLimitAdjustsByRounds(t *testing.T) {
--- a/balancer/load_model_test.go
+++ b/balancer/load_model_test.go
@@ -20,11 +20,11 @@
 	modelCapacity = modelEndpoints * float64(second) / modelServiceTime // calls per second
 )
 
-// modelFaults configures faults. All fields except slowBacklog are fractions of all requests.
+// modelFaults configures faults. All fields except slowBacklog are fractions, of attempts or of requests.
 type modelFaults struct {
-	lateDials   float64 // requests whose connection is delayed by up to 1.5 s
-	resets      float64
-	errors      float64      // requests that fail in a deeper tier
+	lateDials   float64      // attempts whose connection is delayed by up to 1.5 s
+	resets      float64      // attempts whose connection breaks
+	errors      float64      // attempts that fail in a deeper tier
 	cancels     float64      // requests that the client cancels after 0.2 s
 	slowBacklog Microseconds // endpoints with a longer backlog work at half speed; 0: never
 }
@@ -211,8 +211,8 @@
 	t.Logf("%d arrived, %d in time, %d shed, %d rejected, %d failed", m.arrived, m.inTime, m.shed, m.rejected, m.failed)
 }
 
-// A tenth of the load that the endpoints can serve, with late connections, resets, failures of a deeper tier
-// and clients that cancel.
+// The load is a tenth of what the endpoints can serve, with late connections, resets, failures of a deeper
+// tier and clients that cancel. Hardly any request may be rejected without an attempt.
 func TestBalancerShedsLittleUnderFaultsAtLowLoad(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/balancer/ordered_keys.go
+++ b/balancer/ordered_keys.go
@@ -5,11 +5,11 @@
 // keyQueue serializes the requests with one key: each request starts after the previous one has ended.
 type keyQueue struct {
 	key           string
-	waiting       []*request   // in order of arrival; the first may have been sent
+	requests      []*request   // in order of arrival; the first may have been sent, the others wait
 	cooldownUntil Microseconds // an attempt may still be running until then
 }
 
-// keyQueues holds the queues of all keys with waiting requests or a cooldown, by key.
+// keyQueues holds the queues of all keys that have requests or a cooldown, by key.
 type keyQueues map[string]*keyQueue
 
 // join appends a request to the queue of its key.
@@ -19,20 +19,20 @@
 		queue = &keyQueue{key: req.Key}
 		q[req.Key] = queue
 	}
-	queue.waiting = append(queue.waiting, req)
+	queue.requests = append(queue.requests, req)
 	req.queue = queue
 }
 
-// prune removes a queue that has neither waiting requests nor a cooldown.
+// prune removes a queue that has neither requests nor a cooldown.
 func (q keyQueues) prune(now Microseconds, queue *keyQueue) {
-	if len(queue.waiting) == 0 && now >= queue.cooldownUntil {
+	if len(queue.requests) == 0 && now >= queue.cooldownUntil {
 		delete(q, queue.key)
 	}
 }
 
 // leave removes a request from its queue.
 func (q *keyQueue) leave(req *request) {
-	q.waiting = slices.DeleteFunc(q.waiting, func(x *request) bool { return x == req })
+	q.requests = slices.DeleteFunc(q.requests, func(x *request) bool { return x == req })
 }
 
 // enqueue adds a request to the queue of its key, and starts it if it is first and the key is not in
@@ -46,7 +46,7 @@
 	}
 	latency := req.classState.latency.mean
 	remaining := float64(req.deadline(b.settings)-now) - minRemainingMeanLatencies*latency
-	if float64(len(req.queue.waiting)-1)*latency > remaining {
+	if float64(len(req.queue.requests)-1)*latency > remaining {
 		b.reject(now, host, req)
 		return
 	}
@@ -56,8 +56,8 @@
 // advanceQueue starts the first request in the queue, unless it has been sent already or the key is in
 // cooldown.
 func (b *Balancer) advanceQueue(now Microseconds, host Host, queue *keyQueue) {
-	for len(queue.waiting) > 0 && len(queue.waiting[0].attempts) == 0 && now >= queue.cooldownUntil {
-		b.start(now, host, queue.waiting[0])
+	for len(queue.requests) > 0 && len(queue.requests[0].attempts) == 0 && now >= queue.cooldownUntil {
+		b.start(now, host, queue.requests[0])
 	}
 	b.keyQueues.prune(now, queue)
 }
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -3,9 +3,9 @@
 const (
 	minHealth           = 0.05 // an outlier keeps this weight factor, so that some calls still test it
 	failureHealthFactor = 0.3  // multiplies the health after a failure caused by the endpoint
-	healthGain          = 0.25 // fraction of lost health that a success restores; gain of the error rate
+	healthGain          = 0.25 // part of lost health a success restores; gain of endpointHealth.errorRate
 	outlierErrorRatio   = 2.0  // an endpoint is an outlier above this multiple of the average error rate
-	errorRateGain       = 0.05 // of the moving averages of the error rates over all endpoints
+	errorRateGain       = 0.05 // gain of the moving averages of the error rates over all endpoints
 )
 
 // endpointHealth tracks an endpoint's failures and the weight factor that results from them.
@@ -14,13 +14,13 @@
 	errorRate float64 // moving average of the fraction of failed calls
 }
 
-// record adds a result; failure is 0 or 1. A failure while the endpoint's error rate exceeds usualRate is
+// record adds a result; failure is 0 or 1. A failure while the endpoint's error rate exceeds threshold is
 // attributed to the endpoint: it reduces the health, and record returns true.
-func (h *endpointHealth) record(failure, usualRate float64) (ownFault bool) {
+func (h *endpointHealth) record(failure, threshold float64) (ownFault bool) {
 	h.errorRate += (failure - h.errorRate) * healthGain
 	if failure == 0 {
 		h.factor += (1 - h.factor) * healthGain
-	} else if ownFault = h.errorRate > usualRate; ownFault {
+	} else if ownFault = h.errorRate > threshold; ownFault {
 		h.factor = max(minHealth, h.factor*failureHealthFactor)
 	}
 	return ownFault
--- a/balancer/quota.go
+++ b/balancer/quota.go
@@ -6,28 +6,32 @@
 )
 
 const (
-	initialQuotaMultiplier  = 2.0  // before the first round completes; also the maximum
-	overloadQuotaMultiplier = 1.0  // maximum after an overload, which rejects traffic over the quotas first
-	minQuotaMultiplier      = 0.2  // lower bound
-	innerQuotaMultiplier    = 20.0 // behind the front: quotas count first attempts, and the front sheds load
-	quotaIncrease           = 0.1  // added to the multiplier after a good round
-	quotaRecovery           = 0.15 // added instead below 1, where traffic within the quotas is rejected
-	fullBurstMultiplier     = 0.8  // multiplier from which on random bursts are fully allowed
-	burstDeviations         = 2.0  // standard deviations of a Poisson count that are considered random
-	minWindowCount          = 24.0 // the window of a quota is extended until it holds this many requests
-	maxSlowFraction         = 0.3  // a larger fraction of slow calls cuts quotas, limits and zone preference
+	initialQuotaMultiplier  = 2.0 // until the first round completes; also the maximum
+	overloadQuotaMultiplier = 1.0 // maximum after a bad round: traffic over the quotas is rejected first
+	minQuotaMultiplier      = 0.2 // lower bound
+
+	// innerQuotaMultiplier replaces initialQuotaMultiplier and overloadQuotaMultiplier behind the front tier:
+	// quotas count first attempts, and the front tier sheds load.
+	innerQuotaMultiplier = 20.0
+
+	quotaIncrease       = 0.1  // added to the multiplier after a good round
+	quotaRecovery       = 0.15 // added instead below 1, where traffic within the quotas is rejected
+	fullBurstMultiplier = 0.8  // multiplier from which on random bursts are fully allowed
+	burstDeviations     = 2.0  // standard deviations of a Poisson count that are considered random
+	minWindowCount      = 24.0 // the window of a quota is extended until it holds this many requests
+	maxSlowFraction     = 0.3  // a larger fraction of slow calls cuts quotas, limits and zone preference
 )
 
 // tenantQuota limits the rate of requests that are admitted for one tenant (a rule of QPS grade, in
 // Sentinel's terms).
 type tenantQuota struct {
 	fraction float64       // of the rate of all tenants together
-	admitted slidingWindow // requests
-	arrivals decayingCount // requests
+	admitted slidingWindow // requests that were sent
+	arrivals decayingCount // requests, whether sent or not
 }
 
 // admits reports whether the quota admits one more request, at a rate in requests per second. The window is
-// extended beyond one second to support fractional rates, but not beyond the age of the replica.
+// extended beyond one second to support fractional rates, but not beyond the first request of the replica.
 // burstAllowance is the probability that a request over the rate is admitted if the excess may be random; u
 // must be uniform in [0, 1).
 func (t *tenantQuota) admits(now, firstRequestAt Microseconds, rate, burstAllowance, u float64) bool {
@@ -45,12 +49,12 @@
 // tenantQuotas holds the quotas of all tenants and the multiplier that scales them.
 type tenantQuotas struct {
 	tenants            []*tenantQuota // in the order of the settings
-	fairRate           float64        // requests per second within all quotas together, at one replica
+	fairRate           float64        // sum of all quotas at one replica, in requests per second
 	arrivals           decayingCount  // requests of all tenants
 	firstRequestAt     Microseconds   // 0 if there was none yet
 	multiplier         float64        // scales all quotas
 	maxMultiplier      float64
-	overloadMultiplier float64 // maximum after an overload
+	overloadMultiplier float64 // maximum after a bad round
 	evidence           evidenceRound
 }
 
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -35,7 +35,7 @@
 // A new replica must not admit the requests of a long window at once.
 func TestTenantQuotaLimitsNewReplica(t *testing.T) {
 	if admitted := countAdmitted(&tenantQuota{}, 3, second, second/100); admitted > 4 {
-		t.Errorf("quota admits %d requests in the first second, at 3 per second", admitted)
+		t.Errorf("quota admits %d requests in the first second, at 3 per second, want at most 4", admitted)
 	}
 }
 
@@ -88,7 +88,7 @@
 // keeps sending more than its quota must be limited nevertheless.
 func TestBurstAllowanceCoversRandomBurstsButNotSustainedExcess(t *testing.T) {
 	for _, c := range []struct {
-		rate                        float64 // of tenant 0 with a quota of 0.3; the others send 0.25 each
+		rate                        float64 // of tenant 0, per second; its quota is 0.3; the others send 0.25
 		leastRejected, mostRejected float64
 	}{{0.25, 0, 0.05}, {3, 0.6, 1}} {
 		t.Run(fmt.Sprint(c.rate), func(t *testing.T) {
@@ -164,7 +164,7 @@
 	for i := range rounds * minRoundSamples {
 		now := from + Microseconds(i)
 		a := &attempt{class: &b.settings.Classes[0], sentAt: now}
-		b.applyBackpressure(now, b.classes[0], a, callResult{slow: slow, speed: speedOf(false, !slow)})
+		b.applyBackpressure(now, b.classes[0], a, callObservation{slow: slow, speed: speedOf(false, !slow)})
 	}
 }
 
@@ -186,7 +186,7 @@
 		}
 		now := testStart + 2*second + Microseconds(i)
 		a := &attempt{class: &b.settings.Classes[0], sentAt: now}
-		b.applyBackpressure(now, b.classes[0], a, callResult{slow: true, speed: slowResponse})
+		b.applyBackpressure(now, b.classes[0], a, callObservation{slow: true, speed: slowResponse})
 	}
 	if b.quotas.multiplier < minQuotaMultiplier || b.quotas.multiplier >= 1 {
 		t.Errorf("the multiplier is %v after an overload, want less than 1", b.quotas.multiplier)
@@ -211,7 +211,8 @@
 		for i := range Microseconds(20 * minRoundSamples) {
 			now, bad := from+i, i%3 > 0
 			a := &attempt{class: &b.settings.Classes[0], sentAt: now}
-			b.applyBackpressure(now, b.classes[0], a, callResult{slow: bad, speed: speedOf(bad && fast, fast)})
+			b.applyBackpressure(now, b.classes[0], a,
+				callObservation{slow: bad, speed: speedOf(bad && fast, fast)})
 		}
 	}
 	feed(testStart, true)
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -56,7 +56,7 @@
 				mustReconfigure(t, d.balancer, d.checker.settings)
 			})
 			if !slices.Equal(got, want) {
-				t.Error("the actions differ")
+				t.Error("Reconfigure with equal settings changed the actions")
 			}
 		})
 	}
@@ -70,12 +70,12 @@
 				for field, s := range invalidSettings(d.checker.settings) {
 					var fieldErr *FieldError
 					if err := d.balancer.Reconfigure(s); !errors.As(err, &fieldErr) || !strings.Contains(fieldErr.Field, field) {
-						t.Fatalf("Reconfigure with an invalid %s: error %v", field, err)
+						t.Fatalf("Reconfigure with an invalid %s: error %v, want its FieldError", field, err)
 					}
 				}
 			})
 			if !slices.Equal(got, want) {
-				t.Error("the actions differ")
+				t.Error("Reconfigure with invalid settings changed the actions")
 			}
 		})
 	}
@@ -304,7 +304,7 @@
 	}
 	kept, added := b.quotas.tenants[0], b.quotas.tenants[1]
 	if kept.arrivals.count != 1 || added.arrivals.count != 0 || kept.fraction != 0.4 || b.quotas.fairRate != 15 {
-		t.Errorf("tenants are %+v and %+v, with a fair rate of %v per second in total",
+		t.Errorf("tenants are %+v and %+v, with a total fair rate of %v/s, want the second new and 15/s",
 			kept, added, b.quotas.fairRate)
 	}
 	if duration := b.tierLimit.evidence.minDuration; duration != minDurationObjectives*800_000 {
--- a/balancer/report.go
+++ b/balancer/report.go
@@ -15,7 +15,8 @@
 	return r.reportedAt == 0 || now-r.reportedAt >= reportInterval
 }
 
-// report logs a line for on-call staff while traffic within the quotas is rejected.
+// report logs a line for on-call staff, at most once per reportInterval, while the quota multiplier is so low
+// that traffic within the quotas is rejected.
 func (b *Balancer) report(now Microseconds, host Host) {
 	if b.quotas.multiplier >= 1 || !b.reporter.due(now) {
 		return
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -15,17 +15,17 @@
 
 // attempt is one transmission of a request to an endpoint.
 type attempt struct {
-	endpoint       *endpoint
-	zone, cell     int          // those of the endpoint when the attempt was sent
-	settings       *Settings    // in force when the attempt was decided on
-	class          *Class       // same as request.class
-	decidedAt      Microseconds // when the balancer decided on the attempt
-	sentAt         Microseconds // decidedAt, or the end of the upload of a streamed request
-	outstanding    bool         // has no outcome yet
-	possiblyRan    bool         // outstanding, or ended without proof that it never ran
-	inFlight       bool         // counted by the concurrency limits
-	countedSlow    bool         // counted as slow while it was outstanding
-	reintroduction bool         // first attempt at an endpoint that operators have attached
+	endpoint        *endpoint
+	zone, cell      int          // those of the endpoint when the attempt was sent
+	settings        *Settings    // in force when the attempt was decided on
+	class           *Class       // same as request.class
+	decidedAt       Microseconds // when the balancer decided on the attempt
+	sentAt          Microseconds // decidedAt, or the end of the upload of a streamed request
+	outstanding     bool         // has no outcome yet
+	possiblyRan     bool         // outstanding, or ended without proof that it never ran
+	countedInFlight bool         // counted by the concurrency limits; not reset when the attempt ends
+	countedSlow     bool         // counted as slow while it was outstanding
+	reintroduction  bool         // first attempt at an endpoint that operators have attached
 }
 
 // mayHaveRun reports whether the attempt may have run, that is, whether nothing proves that it never did.
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -96,9 +96,9 @@
 	}
 }
 
-// mayReject reports whether a request may be rejected, which promises the client that a retry is safe. Once
-// an attempt of a request that is not idempotent may have run, this requires that all endpoints of the tier
-// deduplicate the request and that the client retries within the dedup window.
+// mayReject reports whether a request may be rejected, which promises the client that a retry is safe. It is
+// safe if the request is idempotent or no attempt may have run. Otherwise, all endpoints of the tier must
+// deduplicate the request, and the client must retry within the dedup window.
 func (b *Balancer) mayReject(now Microseconds, req *request) bool {
 	class := req.class
 	return class.Idempotency == Idempotent || !slices.ContainsFunc(req.attempts, (*attempt).mayHaveRun) ||
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -17,14 +17,14 @@
 		want          string
 	}{
 		{idempotentClass, Error, 900_000, 2_000_000, "reject r"},
-		{keyedByTierClass, Error, 1000, 0, "reject r"},
-		{keyedByTierClass, Error, 1000, 200_000, "reject r"},
-		{keyedByTierClass, Error, 1000, 2_000_000, "reject r"}, // half of the objective is the bound
-		{keyedByTierClass, Error, 100_000, 200_000, "fail r"},
-		{keyedByTierClass, Error, 100_000, 100_000, "reject r"},
-		{keyedByTierClass, Reset, 285_000, 0, "fail r"},
-		{keyedByTierClass, Rejected, 900_000, 2_000_000, "reject r"},
-		{keyedByCellClass, Error, 1000, 0, "fail r"},
+		{tierDedupClass, Error, 1000, 0, "reject r"},
+		{tierDedupClass, Error, 1000, 200_000, "reject r"},
+		{tierDedupClass, Error, 1000, 2_000_000, "reject r"}, // half of the objective is the bound
+		{tierDedupClass, Error, 100_000, 200_000, "fail r"},
+		{tierDedupClass, Error, 100_000, 100_000, "reject r"},
+		{tierDedupClass, Reset, 285_000, 0, "fail r"},
+		{tierDedupClass, Rejected, 900_000, 2_000_000, "reject r"},
+		{cellDedupClass, Error, 1000, 0, "fail r"},
 		{notIdempotentClass, Rejected, 1000, 0, "reject r"},
 	} {
 		name := fmt.Sprintf("class %d status %d after %d max %d", c.class, c.status, c.after, c.maxRetryAfter)
@@ -57,18 +57,18 @@
 		{idempotentClass, Error, 1000, retryAnywhere},
 		{idempotentClass, Reset, 1000, retryAnywhere},
 		{idempotentClass, Rejected, 1000, retryAnywhere},
-		{keyedByCellClass, Rejected, 1000, retryAnywhere},
-		{keyedByCellClass, Error, 1000, retryInCell},
-		{keyedByCellClass, Error, 300_000, fail}, // the dedup window is over
+		{cellDedupClass, Rejected, 1000, retryAnywhere},
+		{cellDedupClass, Error, 1000, retryInCell},
+		{cellDedupClass, Error, 300_000, fail}, // the dedup window is over
 		{notIdempotentClass, Rejected, 1000, retryAnywhere},
 		{notIdempotentClass, ConnectFailed, 1000, retryAnywhere},
 		{notIdempotentClass, Error, 1000, fail},
 		{notIdempotentClass, TimedOut, 1000, fail},
 		{notIdempotentClass, Reset, 1000, fail},
-		{keyedByTierClass, Error, 1000, retryAnywhere},
-		{keyedByTierClass, Error, 300_000, fail}, // the client would retry after the dedup window
-		{keyedByZoneClass, Error, 1000, retryInZone},
-		{keyedByZoneClass, Error, 300_000, fail},
+		{tierDedupClass, Error, 1000, retryAnywhere},
+		{tierDedupClass, Error, 300_000, fail}, // the client would retry after the dedup window
+		{zoneDedupClass, Error, 1000, retryInZone},
+		{zoneDedupClass, Error, 300_000, fail},
 	} {
 		t.Run(fmt.Sprintf("class %d status %d after %d", c.class, c.status, c.after), func(t *testing.T) {
 			b, h := newWithEndpoints(t, testSettings(), 8)
@@ -101,14 +101,14 @@
 	if len(h.sends) != 1 || h.last() != "fail unsafe" {
 		t.Errorf("request that is not idempotent, rejected by its endpoint: %q, want a failure", h.actions)
 	}
-	sendRequest(b, h, testStart+2000, "keyed", keyedByCellClass)
+	sendRequest(b, h, testStart+2000, "keyed", cellDedupClass)
 	b.HandleOutcome(testStart+3000, h, Outcome{ID: "keyed", Status: Rejected, Latency: 1000})
 	if len(h.sends) != 3 {
-		t.Fatalf("request with a key, rejected by its endpoint: %q, want a retry", h.actions)
+		t.Fatalf("request with an idempotency key, rejected by its endpoint: %q, want a retry", h.actions)
 	}
 	first, second := b.endpoints.byID[h.sends[1].endpoint], b.endpoints.byID[h.sends[2].endpoint]
 	if first.Cell != second.Cell {
-		t.Errorf("request with a key retried in another cell: %q", h.actions)
+		t.Errorf("request with an idempotency key retried in another cell: %q", h.actions)
 	}
 }
 
@@ -146,9 +146,10 @@
 			}
 			b.HandleOutcome(now, h, Outcome{ID: id, Attempt: n, Status: status, Latency: 1000, RequestDone: status == OK})
 		}
-		made, taken := retries.countSince(now-5*second), requests.countSince(now-5*second+1)
-		if made > 3+0.05*taken {
-			t.Fatalf("at %d: %v retries for %v requests within the window", now-testStart, made, taken)
+		recentRetries, recentRequests := retries.countSince(now-5*second), requests.countSince(now-5*second+1)
+		if recentRetries > 3+0.05*recentRequests {
+			t.Fatalf("at %d: %v retries for %v requests within the window",
+				now-testStart, recentRetries, recentRequests)
 		}
 	}
 	if len(retries) == 0 {
@@ -209,7 +210,7 @@
 	s.RetryBudgetWindow = 30 * second
 	mustReconfigure(t, b, s)
 	if retries(testStart+20*second, "c") != 0 {
-		t.Error("a second retry within 30 s")
+		t.Error("a second retry within 30 s, want none")
 	}
 	if retries(testStart+40*second, "d") != 1 {
 		t.Error("no retry after 30 s")
--- a/balancer/rules_checker_test.go
+++ b/balancer/rules_checker_test.go
@@ -3,7 +3,14 @@
 import "fmt"
 
 // rulesChecker is a Host that checks the actions of a Balancer against the rules of the protocol. It keeps
-// its own records, which share nothing with the Balancer.
+// its own records, which share nothing with the Balancer. Violations refer to rules by their numbers in the
+// protocol:
+//
+//	1: Each request gets exactly one final answer, by its deadline, and is not sent afterwards.
+//	2: A request is sent again or rejected only as far as its idempotency and deduplication allow.
+//	3: Sends to an endpoint end within Settings.DrainGrace after it was listed as draining or removed.
+//	5: Ordered requests with the same key run one at a time, in order of arrival, with cooldowns.
+//	6: Retries stay within the retry budget.
 type rulesChecker struct {
 	settings      Settings
 	now           Microseconds
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -2,7 +2,7 @@
 
 const (
 	slowStartMargin            = 0.6  // fraction of its minimum capacity used for an endpoint in slow start
-	slowStartOverloadMargin    = 0.75 // fraction of SlowStartOverload used if warm ones can't take the rest
+	slowStartOverloadMargin    = 0.75 // fraction of SlowStartOverload used if no warm endpoint takes the rest
 	reintroductionDelayDivisor = 200  // SlowStartDuration / this: delay between two replicas' first calls
 )
 
--- a/balancer/slowstart_model_test.go
+++ b/balancer/slowstart_model_test.go
@@ -41,7 +41,7 @@
 	s.Classes = s.Classes[:1]
 	s.Replicas, s.Zones = slowStartReplicas, 1
 	s.SlowStartCapacity, s.SlowStartDuration, s.SlowStartOverload = capacity, 24*second, overload
-	f := &slowStartModel{t: t, settings: s, random: rand.New(rand.NewPCG(5, 5)), now: testStart,
+	m := &slowStartModel{t: t, settings: s, random: rand.New(rand.NewPCG(5, 5)), now: testStart,
 		sendTimes: map[string][]Microseconds{}}
 	for i := range slowStartReplicas {
 		s.ReplicaIndex = i
@@ -49,13 +49,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.replicas, f.hosts = append(f.replicas, b), append(f.hosts, &recorder{})
+		m.replicas, m.hosts = append(m.replicas, b), append(m.hosts, &recorder{})
 	}
-	f.update(FullUpdate, f.endpoints(0))
-	return f
+	m.update(FullUpdate, m.endpoints(0))
+	return m
 }
 
-func (f *slowStartModel) endpoints(startedAt Microseconds) []Endpoint {
+func (m *slowStartModel) endpoints(startedAt Microseconds) []Endpoint {
 	var list []Endpoint
 	for i := range slowStartEndpoints {
 		list = append(list, Endpoint{ID: fmt.Sprintf("s%d", i), State: Ready, Capacity: 1, StartedAt: startedAt})
@@ -63,40 +63,40 @@
 	return list
 }
 
-func (f *slowStartModel) update(kind UpdateKind, endpoints []Endpoint) {
-	for i, b := range f.replicas {
-		b.UpdateEndpoints(f.now, f.hosts[i], kind, endpoints)
+func (m *slowStartModel) update(kind UpdateKind, endpoints []Endpoint) {
+	for i, b := range m.replicas {
+		b.UpdateEndpoints(m.now, m.hosts[i], kind, endpoints)
 	}
 }
 
 // run simulates requests during span, at a rate of load times the capacity of all endpoints when warm.
-func (f *slowStartModel) run(load float64, span Microseconds) {
+func (m *slowStartModel) run(load float64, span Microseconds) {
 	rate := load * slowStartWarmRate * slowStartEndpoints
-	for end := f.now + span; f.now < end; {
-		f.now += Microseconds(f.random.ExpFloat64() / rate * float64(second))
-		for len(f.outstanding) > 0 && f.outstanding[0].endsAt <= f.now {
-			call := f.outstanding[0]
-			f.outstanding = f.outstanding[1:]
-			succeed(f.replicas[call.replica], f.hosts[call.replica], call.endsAt, call.id, slowStartLatency)
+	for end := m.now + span; m.now < end; {
+		m.now += Microseconds(m.random.ExpFloat64() / rate * float64(second))
+		for len(m.outstanding) > 0 && m.outstanding[0].endsAt <= m.now {
+			call := m.outstanding[0]
+			m.outstanding = m.outstanding[1:]
+			succeed(m.replicas[call.replica], m.hosts[call.replica], call.endsAt, call.id, slowStartLatency)
 		}
-		i := f.random.IntN(slowStartReplicas)
-		f.requests++
-		id, h := fmt.Sprint(f.requests), f.hosts[i]
+		i := m.random.IntN(slowStartReplicas)
+		m.requests++
+		id, h := fmt.Sprint(m.requests), m.hosts[i]
 		before := len(h.sends)
-		if sendRequest(f.replicas[i], h, f.now, id, 0); len(h.sends) > before {
-			f.served++
+		if sendRequest(m.replicas[i], h, m.now, id, 0); len(h.sends) > before {
+			m.served++
 			endpoint := h.sends[before].endpoint
-			f.sendTimes[endpoint] = append(f.sendTimes[endpoint], f.now)
-			f.outstanding = append(f.outstanding, outstandingCall{f.now + slowStartLatency, i, id})
+			m.sendTimes[endpoint] = append(m.sendTimes[endpoint], m.now)
+			m.outstanding = append(m.outstanding, outstandingCall{m.now + slowStartLatency, i, id})
 		}
 	}
 }
 
 // checkRate checks that an endpoint which started at startedAt got no more calls in any window than it can
 // handle.
-func (f *slowStartModel) checkRate(id string, startedAt, window Microseconds) {
-	f.t.Helper()
-	times := f.sendTimes[id]
+func (m *slowStartModel) checkRate(id string, startedAt, window Microseconds) {
+	m.t.Helper()
+	times := m.sendTimes[id]
 	for i, from := range times {
 		if from < startedAt {
 			continue
@@ -107,12 +107,12 @@
 				n++
 			}
 		}
-		initial := f.settings.SlowStartCapacity
-		capacity := min(1, initial+(1-initial)*float64(from-startedAt)/float64(f.settings.SlowStartDuration))
-		expected := f.settings.SlowStartOverload * capacity * slowStartWarmRate *
+		initial := m.settings.SlowStartCapacity
+		capacity := min(1, initial+(1-initial)*float64(from-startedAt)/float64(m.settings.SlowStartDuration))
+		expected := m.settings.SlowStartOverload * capacity * slowStartWarmRate *
 			float64(window) / float64(second)
 		if limit := expected + 2*math.Sqrt(expected) + 2; float64(n) > limit {
-			f.t.Errorf("%s got %d calls in the window that begins %d ms after its start, want at most %.1f",
+			m.t.Errorf("%s got %d calls in the window that begins %d ms after its start, want at most %.1f",
 				id, n, (from-startedAt)/1000, limit)
 			return
 		}
@@ -121,7 +121,7 @@
 
 // resetCounts resets the counters. Later requests are numbered from lastID+1, so that their IDs differ from
 // earlier ones.
-func (f *slowStartModel) resetCounts(lastID int) { f.requests, f.served = lastID, 0 }
+func (m *slowStartModel) resetCounts(lastID int) { m.requests, m.served = lastID, 0 }
 
 // All endpoints start at the same time, as happens when a zone recovers. Whatever the number of replicas,
 // each replica must not exceed its part of the load that endpoints in slow start can handle. It rejects the
@@ -129,29 +129,29 @@
 func TestSlowStartKeepsAllReplicasWithinCapacity(t *testing.T) {
 	for _, c := range []struct{ capacity, overload, load float64 }{{0.14, 3, 0.9}, {0.31, 3, 0.9}, {0.14, 4, 1.2}, {0.3, 2, 0.8}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
-			f := newSlowStartModel(t, c.capacity, c.overload)
-			f.run(c.load, 20*second)
-			if float64(f.served) < 0.99*float64(f.requests) {
-				t.Fatalf("%d of %d requests served while all endpoints were warm", f.served, f.requests)
+			m := newSlowStartModel(t, c.capacity, c.overload)
+			m.run(c.load, 20*second)
+			if float64(m.served) < 0.99*float64(m.requests) {
+				t.Fatalf("%d of %d requests served while all endpoints were warm", m.served, m.requests)
 			}
-			startedAt := f.now
-			f.update(FullUpdate, f.endpoints(startedAt))
-			f.resetCounts(1_000_000)
-			f.run(c.load, 3*second)
+			startedAt := m.now
+			m.update(FullUpdate, m.endpoints(startedAt))
+			m.resetCounts(1_000_000)
+			m.run(c.load, 3*second)
 			for i := range slowStartEndpoints {
-				f.checkRate(fmt.Sprintf("s%d", i), startedAt, second)
+				m.checkRate(fmt.Sprintf("s%d", i), startedAt, second)
 			}
 			// The replicas must serve at least half of the endpoints' capacity at the start of slow start.
-			requests := float64(f.requests - 1_000_000)
-			if capacity := requests * min(1, c.capacity/c.load); float64(f.served) < capacity/2 {
+			requests := float64(m.requests - 1_000_000)
+			if capacity := requests * min(1, c.capacity/c.load); float64(m.served) < capacity/2 {
 				t.Errorf("%d of %.0f requests served in slow start, want at least half of the capacity %.0f",
-					f.served, requests, capacity)
+					m.served, requests, capacity)
 			}
-			f.run(c.load, f.settings.SlowStartDuration)
-			f.resetCounts(2_000_000)
-			if f.run(c.load, 3*second); float64(f.served) < 0.99*float64(f.requests-2_000_000) {
+			m.run(c.load, m.settings.SlowStartDuration)
+			m.resetCounts(2_000_000)
+			if m.run(c.load, 3*second); float64(m.served) < 0.99*float64(m.requests-2_000_000) {
 				t.Errorf("%d of %d requests served after all endpoints were warm again",
-					f.served, f.requests-2_000_000)
+					m.served, m.requests-2_000_000)
 			}
 		})
 	}
@@ -160,20 +160,20 @@
 // Operators attach an endpoint at all replicas at the same time. Each replica sends it a first call soon, but
 // the replicas take turns.
 func TestAttachStaggersFirstCallsOfReplicas(t *testing.T) {
-	f := newSlowStartModel(t, 0.14, 3)
-	f.run(0.9, 20*second)
-	for _, b := range f.replicas {
+	m := newSlowStartModel(t, 0.14, 3)
+	m.run(0.9, 20*second)
+	for _, b := range m.replicas {
 		b.Detach("s3")
 	}
-	f.run(0.9, 3*second)
-	attachedAt := f.now
-	for _, b := range f.replicas {
+	m.run(0.9, 3*second)
+	attachedAt := m.now
+	for _, b := range m.replicas {
 		b.Attach(attachedAt, "s3")
 	}
-	f.run(0.9, 4*second)
-	f.checkRate("s3", attachedAt, second)
+	m.run(0.9, 4*second)
+	m.checkRate("s3", attachedAt, second)
 	calls := 0
-	for _, at := range f.sendTimes["s3"] {
+	for _, at := range m.sendTimes["s3"] {
 		if at >= attachedAt && at < attachedAt+2*second {
 			calls++
 		}
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -9,8 +9,8 @@
 
 const (
 	minSubsetSize    = 4.0      // minimum number of endpoints that a replica sends to
-	subsetRateFactor = 3.0      // the subset size is this times the root of the calls per second
-	ringStep         = 0.618034 // golden ratio: its multiples spread any number of replicas evenly on a ring
+	subsetRateFactor = 3.0      // the subset size is this times the square root of the calls per second
+	ringStep         = 0.618034 // golden ratio - 1: multiples spread any number of replicas evenly on a ring
 )
 
 // ringPosition hashes an endpoint's ID to a position on the ring. The position is the same at every replica
--- a/balancer/window.go
+++ b/balancer/window.go
@@ -3,7 +3,7 @@
 const (
 	windowBuckets      = 64
 	windowBucketLength = second / 8
-	windowLength       = windowBuckets * windowBucketLength
+	windowLength       = windowBuckets * windowBucketLength // 8 s
 )
 
 // slidingWindow counts events in a sliding window of up to windowLength.
