--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -4,8 +4,9 @@
 // The design follows Sentinel's flow rules. Before the first attempt of a request, the rules are checked in
 // order, as in Sentinel's FlowSlot: the tier's concurrency limit (thread grade, cluster node), the tenant's
 // quota (QPS grade, origin node) and the class's concurrency limit (thread grade, default node). A request
-// that exceeds a rule's limit (its count, in Sentinel's terms) is rejected immediately and never sent. A
-// retry is subject to the two concurrency limits and to a retry budget, but not to the quota.
+// that exceeds a rule's limit (its count, in Sentinel's terms) is rejected immediately and never sent, and so
+// is one that would leave clients too few idle connections. A retry is subject to the two concurrency limits
+// and to a retry budget, but not to the quota or the idle connections.
 //
 // In Sentinel, counts are configured by hand. Here they are adjusted at run time, after each round of
 // observed calls: they start high, decrease after a round that indicates an overload (many calls are slow or
