--- a/cmd/baylock/main.go
+++ b/cmd/baylock/main.go
@@ -32,7 +32,7 @@
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
-		return fmt.Errorf("configuration: %w", err)
+		return fmt.Errorf("cannot load the configuration: %w", err)
 	}
 	p, err := proxy.New(cfg, log)
 	if err != nil {
@@ -55,7 +55,8 @@
 	return p.Run(ctx)
 }
 
-// reload loads the configuration and passes it to apply. A configuration that is rejected is logged and changes nothing.
+// reload loads the configuration and passes it to apply. If either fails, reload logs the error, and the old configuration
+// stays in force.
 func reload(getenv func(string) string, apply func(config.Config) error, log *slog.Logger) {
 	cfg, err := config.Load(getenv)
 	if err == nil {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -17,7 +17,7 @@
 	request         *request
 	number          int                   // index among the request's attempts, from 0
 	sentAt          balancer.Microseconds // when the balancer sent it, or when the last byte of a streamed request was written
-	responseTimeout time.Duration         // for the response to a streamed request, counted from its last byte
+	responseTimeout time.Duration         // for the response to a streamed request, from the request's last byte on
 	cancel          context.CancelFunc    // set while the attempt is in flight
 	forwarding      bool                  // the response is being forwarded
 }
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -15,8 +15,8 @@
 const (
 	bytesPerMiB = 1 << 20
 
-	// memoryLimitFraction is the fraction of the memory limit that becomes the Go runtime's soft limit, from which on the
-	// runtime collects garbage more often.
+	// memoryLimitFraction is the fraction of the process's memory limit that is set as the Go runtime's soft limit. Near
+	// the soft limit the runtime collects garbage more often.
 	memoryLimitFraction = 0.6
 )
 
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	eventBuffer   = 256
+	eventBuffer   = 256         // capacity of the events channel
 	sweepInterval = time.Second // between two checks of the idle connections to endpoints
 )
 
-// eventLoop owns the balancer and the table of open requests. It receives every event through a channel and passes it to
-// the balancer in the order of arrival. It implements balancer.Host, so it also carries out the balancer's decisions. Once
-// run has started, only its goroutine uses the fields, except for the channels, the logger and the fields whose comments
-// allow other uses.
+// eventLoop owns the balancer and the table of open requests. It receives events and endpoint list updates through
+// channels and handles them one at a time, events in the order of their arrival. It implements balancer.Host, so it also
+// carries out the balancer's decisions. Once run has started, only its goroutine uses the fields, except for the channels,
+// the logger and the fields whose comments allow other uses.
 type eventLoop struct {
 	balancer *balancer.Balancer
 	clock    timing.Clock    // immutable
@@ -33,7 +33,7 @@
 
 	events       chan event
 	updates      chan discovery.Update // updates of the endpoint list
-	pollRequests chan struct{}         // requests a poll of the endpoint list; buffers one request
+	pollRequests chan struct{}         // a value requests a poll of the endpoint list; buffers one value
 	done         chan struct{}         // closed when the loop has ended
 
 	endpointListReady chan struct{} // closed when an endpoint list is known, possibly a cached one
@@ -46,10 +46,10 @@
 	timers   timing.Queue[timerTarget]
 	unsent   []*attempt // attempts that could not be sent; reported to the balancer after the current event
 
-	attempts        sync.WaitGroup
+	attempts        sync.WaitGroup  // the goroutines that run attempts
 	attemptsContext context.Context // parent of all attempts' contexts
 
-	cutoff          balancer.Microseconds // when all requests have to end, once a shutdown has begun; else 0
+	cutoff          balancer.Microseconds // when requests without a response fail; 0 unless shutting down
 	streamingCutoff balancer.Microseconds // requests fully received later get no streamed response; 0 for no limit
 }
 
@@ -84,10 +84,10 @@
 func (l *eventLoop) run(ctx context.Context) {
 	defer l.pool.Close()
 	defer l.attempts.Wait()
-	attempts, cancel := context.WithCancel(ctx)
+	attemptsContext, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer close(l.done) // before the wait for attempts, so that post drops their events from here on
-	l.attemptsContext = attempts
+	defer close(l.done) // runs before attempts.Wait, so that attempts don't wait for the loop to receive their events
+	l.attemptsContext = attemptsContext
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	sweep := time.NewTicker(sweepInterval)
--- a/internal/proxy/operations.go
+++ b/internal/proxy/operations.go
@@ -60,7 +60,7 @@
 // changeBackend edits the operator state of one backend and applies it. The backend must be detached already or be on the
 // endpoint list.
 func (p *Proxy) changeBackend(ctx context.Context, id string, edit func(*operatorstate.State)) error {
-	known := func(state operatorstate.State) error {
+	check := func(state operatorstate.State) error {
 		if slices.Contains(state.Detached, id) {
 			return nil
 		}
@@ -73,7 +73,7 @@
 		}
 		return nil
 	}
-	return p.operatorState.Change(known, edit, p.applyState(ctx))
+	return p.operatorState.Change(check, edit, p.applyState(ctx))
 }
 
 // applyState returns a function that applies the operator state to this process.
@@ -99,8 +99,8 @@
 	}
 }
 
-// syncState applies operators' changes that were made through other processes of this proxy, and divides the limits among
-// the processes while others run. It also saves the learned state at intervals. It returns when the context is canceled.
+// syncState applies operators' changes that were made through other processes of this proxy, and halves the limits of this
+// process while another one runs. It also saves the learned state at intervals. It returns when the context is canceled.
 func (p *Proxy) syncState(ctx context.Context) {
 	ticker := time.NewTicker(stateSyncInterval)
 	defer ticker.Stop()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -32,9 +32,9 @@
 	operatorState *operatorstate.Store
 
 	opened             chan struct{} // closed when all listeners are open
-	discoveryAddresses chan string   // addresses of discovery that reloads put in force
+	discoveryAddresses chan string   // passes the address of discovery from Reload to watchEndpoints
 
-	reloading sync.Mutex // held by Reload
+	reloading sync.Mutex // held during Reload, so that concurrent calls run one after another
 }
 
 // New returns a proxy that serves clients during Run. It opens the listeners unless another process of this proxy is
@@ -97,7 +97,7 @@
 }
 
 // openOperatorState returns the store that the processes of this proxy share. It returns an in-memory store instead if no
-// folder is configured, if there is no console to change the state, or if the shared store can't be opened.
+// directory is configured, if there is no console to change the state, or if the shared store can't be opened.
 func openOperatorState(cfg config.Config, log *slog.Logger) *operatorstate.Store {
 	if cfg.TempDir == "" || cfg.Console == "" {
 		return operatorstate.NewInMemory(log)
@@ -112,12 +112,12 @@
 
 // restoreState applies the stored operator state and the cached endpoint list to the loop, before it runs.
 func (p *Proxy) restoreState() {
-	operators := p.operatorState.Current()
-	p.loop.setDetached(operators.Detached)
+	state := p.operatorState.Current()
+	p.loop.setDetached(state.Detached)
 	if p.config.Known != nil {
 		p.loop.applyList(balancer.CachedUpdate, p.config.Known)
 	}
-	for id, attachedAt := range operators.AttachedAt { // recently, so the balancer has to slow-start them
+	for id, attachedAt := range state.AttachedAt { // attached recently, so the balancer has to slow-start them
 		p.loop.balancer.Detach(id)
 		p.loop.balancer.Attach(attachedAt, id)
 	}
@@ -142,7 +142,7 @@
 	peers := p.operatorState.AcceptingPeers()
 	listener, err := socket.ListenShared(p.config.Listen, peers, p.log)
 	if err != nil {
-		return fmt.Errorf("listen: %w", err)
+		return fmt.Errorf("cannot listen for clients: %w", err)
 	}
 	p.clients.Listener = listener
 	if p.console != nil {
@@ -169,8 +169,9 @@
 	}
 }
 
-// Addr returns the address where clients connect.
+// Addr returns the address where clients connect. It must not be called before the listeners are open.
 func (p *Proxy) Addr() string { return p.clients.Addr().String() }
 
-// ConsoleAddr returns the address where operators connect.
+// ConsoleAddr returns the address where operators connect. It must not be called before the listeners are open, or on a
+// proxy without a console.
 func (p *Proxy) ConsoleAddr() string { return p.console.Addr().String() }
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -13,8 +13,8 @@
 	"baylock/internal/upstream"
 )
 
-// expiryLeeway is how long after its deadline the loop fails a request on its own. The balancer comes first: if an attempt
-// times out at the deadline, the balancer decides on the response and updates its measurements of the endpoint.
+// expiryLeeway is how long after a request's deadline the loop itself fails the request. It lets the balancer act first: if
+// an attempt times out at the deadline, the balancer decides on the response and updates its measurements of the endpoint.
 const expiryLeeway = 10 * time.Millisecond
 
 // request is an entry in the loop's table of open requests.
@@ -114,7 +114,8 @@
 	})
 }
 
-// cancel ends a request and its attempt. If the response is being forwarded already, cancel stops the forwarding.
+// cancel ends a request with a response and cancels its attempt. If the request already has a response that is being
+// forwarded, cancel only stops the forwarding.
 func (l *eventLoop) cancel(r *request, response downstream.Response) {
 	if r.responded {
 		if r.inFlight != nil && r.inFlight.forwarding {
@@ -136,7 +137,7 @@
 	}
 }
 
-// beginShutdown limits the lifetime of all requests to cutoff, since the process may be killed soon after.
+// beginShutdown makes all requests fail that have no response by cutoff, since the process may be killed soon after.
 func (l *eventLoop) beginShutdown(cutoff, streamingCutoff balancer.Microseconds) {
 	l.cutoff, l.streamingCutoff = cutoff, streamingCutoff
 	for _, r := range l.requests {
@@ -146,8 +147,8 @@
 	}
 }
 
-// finishAttempt passes the outcome of an attempt to the balancer. If the attempt succeeded, the request first gets its
-// response.
+// finishAttempt passes the outcome of an attempt to the balancer. If the attempt succeeded, or the client is gone or at
+// fault, the request first gets its response.
 func (l *eventLoop) finishAttempt(a *attempt, result upstream.Result) {
 	r := a.request
 	if r.inFlight == a {
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -11,14 +11,17 @@
 	killDelay  = 3 * time.Second
 	killLeeway = 500 * time.Millisecond
 
-	servingFraction = 0.7 // fraction of that time for which new requests are accepted; the rest is for their responses
+	// servingFraction is the fraction of the time from SIGTERM to SIGKILL for which new requests are accepted. The rest is for
+	// their responses.
+	servingFraction = 0.7
 
 	// streamingWindow limits streamed responses if another process has taken over: only requests that were fully received
 	// within this time after SIGTERM get one. SIGKILL might cut off a later one, and its request would count as lost.
 	streamingWindow = 600 * time.Millisecond
 )
 
-// Run serves until the context is canceled, and then until all submitted requests have their responses.
+// Run serves until the context is canceled, and then until all submitted requests have their responses. It returns an error
+// if the listeners can't be opened or fail.
 func (p *Proxy) Run(ctx context.Context) error {
 	defer p.operatorState.Close()
 	tasksContext, stop := context.WithCancel(context.Background())
@@ -63,7 +66,7 @@
 	}
 }
 
-// shutDown ends the service to clients before SIGKILL arrives. begin is when SIGTERM arrived.
+// shutDown ends the service to clients before SIGKILL arrives. begin is when SIGTERM arrived or the listener failed.
 func (p *Proxy) shutDown(begin time.Time) {
 	takenOver := p.operatorState.AcceptingPeers() > 0
 	p.server.SetTakenOver(takenOver)
