--- a/cmd/baylock/main_test.go
+++ b/cmd/baylock/main_test.go
@@ -101,26 +101,27 @@
 			reload(environment(path), apply, log)
 			lines := logged.lines()
 			if len(lines) != 2+i { // one line is logged at the start
-				t.Fatalf("logged %q", lines)
+				t.Fatalf("logged %q, want one more line than before the reload", lines)
 			}
 			line := lines[len(lines)-1]
 			if rejected := strings.Contains(line, "not taken"); rejected != (c.rejection != "") || !strings.Contains(line, c.rejection) {
-				t.Errorf("logged %q", line)
+				t.Errorf("logged %q, want the outcome of the case", line)
 			}
 		})
 	}
 	if want := []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:1"}; !slices.Equal(addresses, want) {
-		t.Errorf("discovery addresses %q", addresses)
+		t.Errorf("discovery addresses %q, want one for each accepted configuration", addresses)
 	}
 	lines := logged.lines()
 	// docs/oncall.md tells operators how to compute these versions from the two files.
 	if first, last := lines[0], lines[len(lines)-1]; !strings.Contains(first, "version=d693ccca0c79 ") ||
 		!strings.Contains(last, "version=344e844e1259 ") {
-		t.Errorf("the first line is %q, the last one %q", first, last)
+		t.Errorf("the first line is %q, the last one %q; want other settings versions", first, last)
 	}
 }
 
-// Covers a reload from the signal to the responses that clients get. After several signals the last file is in force.
+// This test covers a reload from the signal to the responses that clients get. After several signals the last file is in
+// force.
 func TestRunReloadsFileOnSIGHUP(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/proxy/body_test.go
+++ b/internal/proxy/body_test.go
@@ -85,7 +85,7 @@
 				go func() { _, _ = io.WriteString(c, head+sent) }()
 				resp, got := c.readResponse(t)
 				if resp.StatusCode != 200 || got != body || resp.Close {
-					t.Fatalf("%d bytes, request framing %s, response query %q: got %s with %d bytes, close %v", size, framing, query, resp.Status, len(got), resp.Close)
+					t.Fatalf("%d bytes, request framing %s, response query %q: got %s with %d bytes, close %v; want 200 with the same body and an open connection", size, framing, query, resp.Status, len(got), resp.Close)
 				}
 				time.Sleep(upstream.ReuseDelay) // after this delay an idle connection may be reused
 			}
@@ -113,7 +113,7 @@
 	}
 	sum := sha256.New()
 	if n, err := io.Copy(sum, resp.Body); n != message.MaxBody || err != nil || [32]byte(sum.Sum(nil)) != sha256.Sum256(body) {
-		t.Errorf("got %d bytes, %v", n, err)
+		t.Errorf("got %d bytes, %v, want the body of the request", n, err)
 	}
 	c = connect(t, p) // the length of a chunked body is known only once it has arrived
 	go func() {
@@ -125,10 +125,10 @@
 		}
 	}()
 	if resp, _ := c.readResponse(t); resp.StatusCode != 413 || !resp.Close {
-		t.Errorf("a longer body: got %s", resp.Status)
+		t.Errorf("a longer body: got %s, want 413 and a closed connection", resp.Status)
 	}
 	if n := b.Requests.Load(); n != 1 {
-		t.Errorf("%d requests arrived completely", n)
+		t.Errorf("%d requests arrived completely, want 1", n)
 	}
 }
 
@@ -162,7 +162,7 @@
 				time.Sleep(40 * time.Millisecond) // 1 s in total
 			}
 			if resp, got := c.readResponse(t); resp.StatusCode != 200 || got != body {
-				t.Errorf("%d bytes: got %s with %d bytes", size, resp.Status, len(got))
+				t.Errorf("%d bytes: got %s with %d bytes, want 200 with the same body", size, resp.Status, len(got))
 			}
 		})
 	}
@@ -176,11 +176,11 @@
 			c := connect(t, p)
 			c.send(t, postHead(name, fmt.Sprintf("Expect: 100-continue\r\nContent-Length: %d", size)))
 			if resp, err := http.ReadResponse(c.r, nil); err != nil || resp.StatusCode != 100 {
-				t.Fatalf("got %v, %v", resp, err)
+				t.Fatalf("got %v, %v, want 100", resp, err)
 			}
 			go func() { _, _ = io.WriteString(c, distinctText(size)) }()
 			if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != distinctText(size) {
-				t.Errorf("got %s with %d bytes", resp.Status, len(body))
+				t.Errorf("got %s with %d bytes, want 200 with the same body", resp.Status, len(body))
 			}
 		})
 	}
@@ -211,7 +211,7 @@
 				start := time.Now()
 				resp, got := client.readResponse(t)
 				if rejected.Load() > before && resp.StatusCode != c.wantStatus || resp.StatusCode == 200 && got != body {
-					t.Errorf("got %s with %d bytes", resp.Status, len(got))
+					t.Errorf("got %s with %d bytes, want the status of the case, and the same body with 200", resp.Status, len(got))
 				}
 				if took := time.Since(start); took > 2*time.Second {
 					t.Errorf("answered after %v", took)
@@ -244,7 +244,7 @@
 	time.Sleep(300 * time.Millisecond)
 	go func() { _, _ = io.WriteString(c, distinctText(100_000)[70_000:]) }()
 	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != distinctText(100_000) {
-		t.Errorf("got %s with %d bytes", resp.Status, len(body))
+		t.Errorf("got %s with %d bytes, want 200 with the same body", resp.Status, len(body))
 	}
 	p.onLoop(func() { deadline <- r.Deadline })
 	if left := time.Until(p.loop.clock.Time(backendtest.Receive(t, "answer of the loop", deadline))); left < 3700*time.Millisecond {
@@ -265,7 +265,7 @@
 	c.send(t, postHead("1", fmt.Sprint("Content-Length: ", size))+distinctText(100_000))
 	var first [12]byte
 	if _, err := io.ReadFull(c.r, first[:]); err != nil || string(first[:]) != "HTTP/1.1 503" {
-		t.Fatalf("got %q, %v", first, err)
+		t.Fatalf("got %q, %v, want HTTP/1.1 503", first, err)
 	}
 	for left := size - 100_000; left > 0; left -= 100_000 {
 		time.Sleep(50 * time.Millisecond)
@@ -297,11 +297,11 @@
 			}
 			body, err := io.ReadAll(resp.Body)
 			if !errors.Is(err, io.ErrUnexpectedEOF) || !strings.HasPrefix(distinctText(300_000), string(body)) {
-				t.Errorf("got %d bytes, %v", len(body), err)
+				t.Errorf("got %d bytes, %v, want a truncated body", len(body), err)
 			}
 			waitUntilIdle(t, p)
 			if n := b.Requests.Load(); n != 1 {
-				t.Errorf("%d attempts", n)
+				t.Errorf("%d attempts, want 1", n)
 			}
 		})
 	}
--- a/internal/proxy/connections_test.go
+++ b/internal/proxy/connections_test.go
@@ -37,7 +37,7 @@
 		c := connect(t, p)
 		c.send(t, lookRequest(fmt.Sprint("n", i), 4000))
 		if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
-			t.Fatalf("new client %d: got %s", i, resp.Status)
+			t.Fatalf("new client %d: got %s, want 200", i, resp.Status)
 		}
 		if n := p.clients.Stats().Open; n > maxConnections {
 			t.Fatalf("%d connections are open, the limit is %d", n, maxConnections)
@@ -70,13 +70,13 @@
 	close(release)
 	for i, c := range clients {
 		if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
-			t.Errorf("request %d: got %s", i, resp.Status)
+			t.Errorf("request %d: got %s, want 200", i, resp.Status)
 		}
 	}
 }
 
 // While discovery is down, idle clients use up all client connections, and more clients connect. The proxy still serves
-// requests, health checks and console calls, and it applies the endpoint list that discovery sends once it is back.
+// requests, health checks and console calls, and it applies the endpoint list that discovery sends once it has recovered.
 func TestProxyServesDespiteIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	a, b := startOKBackend(t), startOKBackend(t)
 	var up atomic.Bool
@@ -106,7 +106,7 @@
 		got  int
 	}{{"health check", p.healthStatus(t)}, {"console", callConsole(t, p, "GET /_ready", "")}} {
 		if r.got != http.StatusOK {
-			t.Errorf("%s: got %d", r.what, r.got)
+			t.Errorf("%s: got %d, want 200", r.what, r.got)
 		}
 	}
 	if ok := p.sendLookups(t, 20); ok != 20 {
@@ -116,7 +116,7 @@
 	backendtest.WaitUntil(t, func() bool { _, ok := p.loop.pool.Find("a"); return !ok })
 	before := a.Requests.Load()
 	if ok := p.sendLookups(t, 20); ok != 20 || a.Requests.Load() != before {
-		t.Errorf("after discovery came back: %d of 20 served, %d requests to the draining backend", ok, a.Requests.Load()-before)
+		t.Errorf("after discovery recovered: %d of 20 served, %d requests to the draining backend", ok, a.Requests.Load()-before)
 	}
 	if n := p.clients.Stats().Open; n > maxConnections {
 		t.Errorf("%d connections are open, the limit is %d", n, maxConnections)
@@ -153,11 +153,11 @@
 	c.readResponse(t)
 	backendtest.WaitUntil(t, func() bool { return p.clients.Stats().Idle == 1 })
 	if remaining, active := p.clients.CloseIdle(0, 0); remaining != 1 || active != 0 {
-		t.Errorf("%d remaining, %d active", remaining, active)
+		t.Errorf("%d connections remain, %d of them active, want 1 and 0", remaining, active)
 	}
 	c.send(t, lookRequest("2", 8000)[1:])
 	if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
-		t.Errorf("got %s", resp.Status)
+		t.Errorf("got %s, want 200", resp.Status)
 	}
 }
 
@@ -181,5 +181,5 @@
 	if _, err := c.r.ReadByte(); err == nil {
 		t.Error("got a response on a closed connection")
 	}
-	checkBegunRequests(t, p, b, 0)
+	checkRequestsStarted(t, p, b, 0)
 }
--- a/internal/proxy/console_test.go
+++ b/internal/proxy/console_test.go
@@ -15,7 +15,7 @@
 	"baylock/internal/downstream"
 )
 
-// startWithConsole starts a proxy with a console. dir is the folder of the operator state, which several processes of the
+// startWithConsole starts a proxy with a console. dir is the directory of the operator state, which several processes of the
 // proxy may share. listen is the address for clients, and entries is the cached endpoint list.
 func startWithConsole(t *testing.T, dir, listen, discoveryAddress string, entries ...string) *runningProxy {
 	t.Helper()
@@ -24,7 +24,7 @@
 	return start(t, cfg)
 }
 
-// startWithConsoleAndBackends starts a proxy with a console and two backends, which it calls a and b.
+// startWithConsoleAndBackends starts a proxy with a console and two backends, which are named a and b on its endpoint list.
 func startWithConsoleAndBackends(t *testing.T) (p *runningProxy, a, b *backendtest.Backend) {
 	t.Helper()
 	a, b = startOKBackend(t), startOKBackend(t)
@@ -126,20 +126,20 @@
 	}
 	resp, err := http.Head("http://" + p.ConsoleAddr() + "/_ready")
 	if err != nil || resp.StatusCode != 405 {
-		t.Errorf("HEAD /_ready: got %v, %v", resp, err)
+		t.Errorf("HEAD /_ready: got %v, %v, want 405", resp, err)
 	}
 	if got := p.healthStatus(t); got != 200 {
-		t.Errorf("health check: got %d", got)
+		t.Errorf("health check: got %d, want 200", got)
 	}
 	if state := p.operatorState.Current(); len(state.Detached) != 0 || state.LameDuck {
-		t.Errorf("the operator state is %+v", state)
+		t.Errorf("the operator state is %+v, want no detached backend and no lame duck", state)
 	}
 	for _, text := range []string{"what is this\r\n\r\n", "GET /_ready HTTP/1.1\r\n\r\n", // no Host header
 		"POST /_backends/detach HTTP/1.1\r\nHost: h\r\nContent-Length: 99\r\n\r\na"} {
 		c := dial(t, p.ConsoleAddr())
 		c.send(t, text)
 		if resp, _ := c.readResponse(t); resp.StatusCode != 400 {
-			t.Errorf("%.20q: got %s", text, resp.Status)
+			t.Errorf("%.20q: got %s, want 400", text, resp.Status)
 		}
 	}
 }
@@ -160,7 +160,7 @@
 	for range 20 {
 		start := time.Now()
 		if got := callConsole(t, p, "POST /_backends/detach", "a"); got != 200 {
-			t.Errorf("got %d", got)
+			t.Errorf("got %d, want 200", got)
 		}
 		if took := time.Since(start); took > time.Second {
 			t.Errorf("answered after %v", took)
@@ -178,14 +178,14 @@
 	p.onLoop(func() { <-release })
 	start := time.Now()
 	if got := callConsole(t, p, "POST /_backends/detach", "a"); got != 503 {
-		t.Errorf("with the loop blocked: got %d", got)
+		t.Errorf("with the loop blocked: got %d, want 503", got)
 	}
 	if took := time.Since(start); took < admin.OperationTimeout {
 		t.Errorf("answered after only %v", took)
 	}
 	close(release)
 	if got := callConsole(t, p, "POST /_backends/detach", "a"); got != 200 {
-		t.Errorf("with the loop running again: got %d", got)
+		t.Errorf("with the loop running again: got %d, want 200", got)
 	}
 }
 
@@ -202,7 +202,7 @@
 	}
 	for range 2 {
 		if got := callConsole(t, p, "POST /_backends/detach", "a"); got != 200 {
-			t.Fatalf("detach: got %d", got)
+			t.Fatalf("detach: got %d, want 200", got)
 		}
 	}
 	before := a.Requests.Load()
@@ -217,13 +217,13 @@
 		}
 	}
 	if got := callConsole(t, p, "POST /_backends/attach", "a"); got != 200 {
-		t.Fatalf("attach: got %d", got)
+		t.Fatalf("attach: got %d, want 200", got)
 	}
 	backendtest.WaitUntil(t, func() bool { p.sendLookups(t, 10); return a.Requests.Load() > before })
 }
 
-// In lame duck mode health checks fail at once, and client connections are closed after downstream.LameDuckDelay. Turning it
-// off restores the service at any time, without a restart.
+// In lame duck mode health checks fail at once, and client connections are closed after downstream.LameDuckDelay. Turning
+// the mode off restores the service at any time, without a restart.
 func TestLameDuckClosesConnectionsUntilTurnedOff(t *testing.T) {
 	release := make(chan struct{})
 	b := backendtest.Start(t, respondAfter(release))
@@ -233,29 +233,29 @@
 	idle.readResponse(t)
 	held.send(t, lookRequest("h", 8000))
 	backendtest.WaitUntil(t, func() bool { return b.Requests.Load() == 2 })
-	for range 3 { // each time it is turned off before connections are closed
+	for range 3 { // each time lame duck mode is turned off before connections are closed
 		if got := callConsole(t, p, "POST /_lameduck/on", ""); got != 200 {
-			t.Fatalf("turning lame duck on: got %d", got)
+			t.Fatalf("turning lame duck on: got %d, want 200", got)
 		}
 		if got := p.healthStatus(t); got != 503 {
-			t.Errorf("health check: got %d", got)
+			t.Errorf("health check: got %d, want 503", got)
 		}
 		if got := callConsole(t, p, "GET /_ready", ""); got != 200 {
-			t.Errorf("readiness: got %d", got)
+			t.Errorf("readiness: got %d, want 200", got)
 		}
 		if ok := p.sendLookups(t, 1); ok != 1 {
 			t.Error("a new connection is not served")
 		}
 		if got := callConsole(t, p, "POST /_lameduck/off", ""); got != 200 {
-			t.Fatalf("turning lame duck off: got %d", got)
+			t.Fatalf("turning lame duck off: got %d, want 200", got)
 		}
 		if got := p.healthStatus(t); got != 200 {
-			t.Errorf("health check: got %d", got)
+			t.Errorf("health check: got %d, want 200", got)
 		}
 	}
 	idle.send(t, lookRequest("2", 8000))
 	if resp, _ := idle.readResponse(t); resp.StatusCode != 200 || resp.Close {
-		t.Fatalf("after lame duck: got %s, close %v", resp.Status, resp.Close)
+		t.Fatalf("after lame duck: got %s, close %v, want 200 and an open connection", resp.Status, resp.Close)
 	}
 	callConsole(t, p, "POST /_lameduck/on", "")
 	if _, err := idle.r.ReadByte(); err != io.EOF {
@@ -263,7 +263,7 @@
 	}
 	close(release)
 	if resp, _ := held.readResponse(t); resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("the open request: got %s, close %v", resp.Status, resp.Close)
+		t.Errorf("the open request: got %s, close %v, want 200 and a closed connection", resp.Status, resp.Close)
 	}
 	backendtest.WaitUntil(t, func() bool { return p.clients.Stats().Open == 0 })
 	callConsole(t, p, "POST /_lameduck/off", "")
@@ -293,7 +293,7 @@
 	for i, c := range []*testClient{kept, fresh} {
 		c.send(t, strings.Replace(head, "Request-Id: 1", fmt.Sprint("Request-Id: s", i), 1)[20:])
 		if resp, _ := c.readResponse(t); resp.StatusCode != 200 || !resp.Close {
-			t.Errorf("connection %d: got %s, close %v", i, resp.Status, resp.Close)
+			t.Errorf("connection %d: got %s, close %v, want 200 and a closed connection", i, resp.Status, resp.Close)
 		}
 	}
 }
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -15,7 +15,7 @@
 
 // disconnect is a way in which a client may disconnect.
 type disconnect struct {
-	request func(id string) string // returns what the client sends before
+	request func(id string) string // returns what the client sends before it disconnects
 	perform func(t *testing.T, c *testClient)
 }
 
@@ -23,12 +23,12 @@
 	"closes":                      {shortPost, func(_ *testing.T, c *testClient) { c.Close() }},
 	"resets":                      {shortPost, resetConnection},
 	"half-closes":                 {shortPost, func(_ *testing.T, c *testClient) { _ = c.Conn.(*net.TCPConn).CloseWrite() }},
-	"half-closes during the body": {longPost, func(_ *testing.T, c *testClient) { _ = c.Conn.(*net.TCPConn).CloseWrite() }},
+	"half-closes during the body": {incompletePost, func(_ *testing.T, c *testClient) { _ = c.Conn.(*net.TCPConn).CloseWrite() }},
 	"closes after more bytes":     {shortPost, closeAfterMoreBytes},
 	"resets after more bytes":     {shortPost, func(t *testing.T, c *testClient) { c.send(t, "GET /"); resetConnection(t, c) }},
-	"closes during the body":      {longPost, func(_ *testing.T, c *testClient) { c.Close() }},
-	"resets during the body":      {longPost, resetConnection},
-	"closes after part of the body": {longPost, func(t *testing.T, c *testClient) {
+	"closes during the body":      {incompletePost, func(_ *testing.T, c *testClient) { c.Close() }},
+	"resets during the body":      {incompletePost, resetConnection},
+	"closes after part of the body": {incompletePost, func(t *testing.T, c *testClient) {
 		c.send(t, distinctText(1000))
 		c.Close()
 	}},
@@ -48,7 +48,7 @@
 	c.Close()
 }
 
-// waitForConnectedClients waits until only n clients are still connected.
+// waitForConnectedClients waits until exactly n clients are connected. A half-closed connection does not count.
 func waitForConnectedClients(t *testing.T, p *Proxy, n int) {
 	t.Helper()
 	backendtest.WaitUntil(t, func() bool {
@@ -109,7 +109,7 @@
 	d.perform(t, c)
 	close(disconnected)
 	backendtest.Receive(t, "accept", accepted)
-	checkBegunRequests(t, p, b, 0)
+	checkRequestsStarted(t, p, b, 0)
 }
 
 func testDisconnectDuringDial(t *testing.T, d disconnect) {
@@ -127,7 +127,7 @@
 	}, servingList(b))
 	disconnectDuringDial(t, p, d, dialing)
 	close(proceed)
-	checkBegunRequests(t, p, b, 0)
+	checkRequestsStarted(t, p, b, 0)
 }
 
 func testDisconnectBetweenAttempts(t *testing.T, d disconnect) {
@@ -149,7 +149,7 @@
 	}, servingList(b, b))
 	disconnectDuringDial(t, p, d, dialing)
 	close(proceed)
-	checkBegunRequests(t, p, b, 0)
+	checkRequestsStarted(t, p, b, 0)
 }
 
 func testDisconnectInQueue(t *testing.T, d disconnect) {
@@ -168,10 +168,10 @@
 	waitForConnectedClients(t, p.Proxy, 1)
 	close(release)
 	if resp, _ := first.readResponse(t); resp.StatusCode != 200 {
-		t.Errorf("first request: got %s", resp.Status)
+		t.Errorf("first request: got %s, want 200", resp.Status)
 	}
 	first.Close()
-	checkBegunRequests(t, p, b, 1)
+	checkRequestsStarted(t, p, b, 1)
 }
 
 func TestDisconnectCancelsAttempt(t *testing.T) {
@@ -232,12 +232,12 @@
 	c := connect(t, p)
 	c.send(t, postHead("stops", "Content-Length: 300000")+distinctText(100_000))
 	if resp, _ := c.readResponse(t); resp.StatusCode != 400 || !resp.Close {
-		t.Errorf("a client that stopped sending: got %s", resp.Status)
+		t.Errorf("a client that stopped sending: got %s, want 400 and a closed connection", resp.Status)
 	}
 	backendtest.Receive(t, "end of the backend's connection", b.Closed)
 	waitUntilIdle(t, p)
 	if n := b.Requests.Load(); n != 0 {
-		t.Errorf("%d requests arrived completely", n)
+		t.Errorf("%d requests arrived completely, want none", n)
 	}
 	c = connect(t, p)
 	c.send(t, postHead("d", "Content-Length: 0"))
--- a/internal/proxy/fakediscovery_test.go
+++ b/internal/proxy/fakediscovery_test.go
@@ -55,7 +55,7 @@
 	return d
 }
 
-// listJSON returns an endpoint list. full is false if entries are only its changes.
+// listJSON returns an endpoint list. full is false if entries are only the changes since the previous version.
 func listJSON(index int, full bool, entries ...string) string {
 	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`, index, full, strings.Join(entries, ","))
 }
--- a/internal/proxy/fakelistener_test.go
+++ b/internal/proxy/fakelistener_test.go
@@ -26,7 +26,7 @@
 // gatedListener wraps a listener and calls functions when it is used. Each function may be nil.
 type gatedListener struct {
 	net.Listener
-	gate      func(net.Conn) net.Conn // wraps an accepted connection
+	gate      func(net.Conn) net.Conn // returns what Accept returns for an accepted connection
 	onInspect func()                  // called before SyscallConn returns the socket
 	onClose   func()                  // called after the listener has been closed
 }
--- a/internal/proxy/forwarding_test.go
+++ b/internal/proxy/forwarding_test.go
@@ -24,13 +24,13 @@
 		t.Run(request.class, func(t *testing.T) {
 			c.send(t, request.text)
 			if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
-				t.Errorf("got %s %q", resp.Status, body)
+				t.Errorf("got %s %q, want 200 and ok", resp.Status, body)
 			}
 			time.Sleep(upstream.ReuseDelay) // after this delay an idle connection may be reused
 		})
 	}
 	if b.Requests.Load() != 3 || b.Connections.Load() != 1 {
-		t.Errorf("%d requests on %d connections", b.Requests.Load(), b.Connections.Load())
+		t.Errorf("%d requests on %d connections, want 3 on 1", b.Requests.Load(), b.Connections.Load())
 	}
 }
 
@@ -48,16 +48,16 @@
 		c := connect(t, p)
 		c.send(t, strings.Replace(lookRequest(fmt.Sprint(i), 4000), "/k", "/k?v=1", 1))
 		if resp, _ := c.readResponse(t); resp.StatusCode != 400 {
-			t.Fatalf("got %s", resp.Status)
+			t.Fatalf("got %s, want 400", resp.Status)
 		}
 	}
 	if n := b.Requests.Load(); n != 40 {
-		t.Errorf("%d attempts for 40 requests", n)
+		t.Errorf("%d attempts for 40 requests, want 40", n)
 	}
 	c := connect(t, p)
 	c.send(t, lookRequest("good", 4000))
 	if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
-		t.Errorf("after the client errors got %s", resp.Status)
+		t.Errorf("after the client errors got %s, want 200", resp.Status)
 	}
 }
 
@@ -67,10 +67,10 @@
 	c.send(t, lookRequest("1", 8000))
 	resp, _ := c.readResponse(t)
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("got %s %v", resp.Status, resp.Header)
+		t.Errorf("got %s %v, want 503 with Retry-After", resp.Status, resp.Header)
 	}
 	if n := b.Requests.Load(); n < 1 || n > 3 {
-		t.Errorf("%d attempts", n)
+		t.Errorf("%d attempts, want 1 to 3", n)
 	}
 }
 
@@ -81,7 +81,7 @@
 	c.send(t, "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nRequest-Timeout-Ms: 1000\r\nContent-Length: 0\r\n\r\n")
 	resp, _ := c.readResponse(t)
 	if resp.StatusCode != http.StatusBadGateway && resp.StatusCode != http.StatusGatewayTimeout {
-		t.Errorf("got %s after %v", resp.Status, time.Since(start))
+		t.Errorf("got %s after %v, want 502 or 504", resp.Status, time.Since(start))
 	}
 	if n := b.Requests.Load(); n != 1 {
 		t.Errorf("a request that is not idempotent was sent %d times", n)
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -63,7 +63,7 @@
 	return cfg
 }
 
-// start creates a proxy and calls its Run until the test ends.
+// start creates a proxy and runs it until the test ends.
 func start(t *testing.T, cfg config.Config) *runningProxy {
 	t.Helper()
 	p, err := New(cfg, slog.New(slog.DiscardHandler))
@@ -73,7 +73,7 @@
 	return run(t, p)
 }
 
-// run calls a proxy's Run until the test ends.
+// run runs a proxy until the test ends.
 func run(t *testing.T, p *Proxy) *runningProxy {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -123,6 +123,7 @@
 	r *bufio.Reader
 }
 
+// connect opens a client connection to a proxy. The connection is closed when the test ends.
 func connect(t *testing.T, p *runningProxy) *testClient {
 	t.Helper()
 	c, err := net.Dial("tcp", p.Addr())
@@ -183,9 +184,9 @@
 	return <-got
 }
 
-// checkBegunRequests waits until the clients have disconnected and the proxy is idle. It checks how many requests have
-// started to arrive at the backend.
-func checkBegunRequests(t *testing.T, p *runningProxy, b *backendtest.Backend, n int32) {
+// checkRequestsStarted waits until the clients have disconnected and the proxy is idle. Then it checks that exactly n
+// requests have started to arrive at the backend.
+func checkRequestsStarted(t *testing.T, p *runningProxy, b *backendtest.Backend, n int32) {
 	t.Helper()
 	backendtest.WaitUntil(t, func() bool { return p.clients.Stats().Open == 0 })
 	waitUntilIdle(t, p)
@@ -196,20 +197,25 @@
 	}
 }
 
-func lookRequest(id string, ms int) string {
+// lookRequest returns a request of the idempotent class look. timeoutMs is its timeout in milliseconds.
+func lookRequest(id string, timeoutMs int) string {
 	return fmt.Sprintf("GET /look/k HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nRequest-Class: look\r\nTenant: acme\r\n"+
-		"Request-Timeout-Ms: %d\r\n\r\n", id, ms)
+		"Request-Timeout-Ms: %d\r\n\r\n", id, timeoutMs)
 }
 
-// postHead is the head of a request that is not idempotent, up to its Content-Length.
-func postHead(id, length string) string {
+// postHead returns the head of a request that is not idempotent. framing is the header that tells how its body is framed.
+func postHead(id, framing string) string {
 	return "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nRequest-Class: post\r\n" +
-		"Request-Timeout-Ms: 4000\r\n" + length + "\r\n\r\n"
+		"Request-Timeout-Ms: 4000\r\n" + framing + "\r\n\r\n"
 }
 
+// shortPost returns a complete request that is not idempotent, with a body of 3 bytes.
 func shortPost(id string) string { return postHead(id, "Content-Length: 3") + "abc" }
 
-func longPost(id string) string { return postHead(id, "Content-Length: 300000") + distinctText(70_000) }
+// incompletePost returns the start of a request that is not idempotent: the first 70,000 of the 300,000 bytes of its body.
+func incompletePost(id string) string {
+	return postHead(id, "Content-Length: 300000") + distinctText(70_000)
+}
 
 // distinctText returns a body of n bytes whose 8-byte blocks all differ.
 func distinctText(n int) string {
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -26,7 +26,7 @@
 	p.loop.Cancel(duplicate)
 	close(release)
 	if resp, body := c.readResponse(t); resp.StatusCode != http.StatusOK || body != "ok" {
-		t.Errorf("got %s %q", resp.Status, body)
+		t.Errorf("got %s %q, want 200 and ok", resp.Status, body)
 	}
 }
 
@@ -38,7 +38,7 @@
 	backendtest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
 	second.send(t, lookRequest("1", 8000))
 	if resp, _ := second.readResponse(t); resp.StatusCode != 400 {
-		t.Errorf("got %s", resp.Status)
+		t.Errorf("got %s, want 400", resp.Status)
 	}
 }
 
@@ -69,7 +69,7 @@
 		got <- sizes{len(p.loop.requests), p.loop.timers.Len(), p.loop.pool.Stats().Endpoints, len(p.loop.zones)}
 	})
 	if s := backendtest.Receive(t, "answer of the loop", got); s != (sizes{backends: 1, zones: 1}) {
-		t.Errorf("remaining: %+v", s)
+		t.Errorf("remaining: %+v, want only one backend and one zone", s)
 	}
 }
 
--- a/internal/proxy/memory_test.go
+++ b/internal/proxy/memory_test.go
@@ -66,8 +66,8 @@
 	backendtest.WaitUntil(t, func() bool { return p.limits.budget.InUse() == 0 })
 }
 
-// exchangeSlowly sends a body and slowly reads a response of the same length. It reports whether the request was served. The
-// proxy may reject it on a busy machine, which is not an error.
+// exchangeSlowly sends a request and slowly reads a response with a body of the same length. It reports whether the request
+// was served. The proxy may reject the request on a busy machine, which is not an error.
 func (c *testClient) exchangeSlowly(t *testing.T, id string, body []byte) (served bool) {
 	t.Helper()
 	go func() {
@@ -79,7 +79,7 @@
 		return false
 	}
 	if err != nil || resp.StatusCode != 200 {
-		t.Errorf("got %v, %v", resp, err)
+		t.Errorf("got %v, %v, want 200 or 503", resp, err)
 		return false
 	}
 	received := 0
@@ -97,7 +97,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	if received != len(body) {
-		t.Errorf("got %d bytes", received)
+		t.Errorf("got %d bytes, want as many as were sent", received)
 	}
 	return true
 }
@@ -112,7 +112,7 @@
 	c := connect(t, p)
 	c.send(t, postHead("1", "Content-Length: 30000")+distinctText(30000))
 	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != distinctText(30000) {
-		t.Errorf("got %s with %d bytes", resp.Status, len(body))
+		t.Errorf("got %s with %d bytes, want 200 with the same body", resp.Status, len(body))
 	}
 	wholeBudget.Release()
 	if wholeBudget.Grow(1) || p.limits.budget.InUse() != 0 {
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -17,7 +17,7 @@
 	"baylock/internal/upstream"
 )
 
-// changedConfig returns the configuration of a running proxy with another version and changed test settings, in which the
+// changedConfig returns the configuration of a running proxy with the given version and changed test settings, in which the
 // first text of each pair in replace is replaced by the second.
 func changedConfig(t *testing.T, p *runningProxy, version string, replace ...string) config.Config {
 	t.Helper()
@@ -50,8 +50,8 @@
 
 func scanRequest(id string) string { return strings.ReplaceAll(lookRequest(id, 4000), "look", "scan") }
 
-// status sends a request on a new connection and returns the status of the response.
-func (p *runningProxy) status(t *testing.T, text string) int {
+// responseStatus sends a request on a new connection and returns the status of the response.
+func (p *runningProxy) responseStatus(t *testing.T, text string) int {
 	t.Helper()
 	c := connect(t, p)
 	defer c.Close()
@@ -69,35 +69,36 @@
 		return true
 	})
 	longTimeoutPost := strings.Replace(shortPost("p"), "Timeout-Ms: 4000", "Timeout-Ms: 60000", 1)
-	if got := p.status(t, scanRequest("1")); got != 400 {
-		t.Errorf("before the reload, unknown class: got %d", got)
+	if got := p.responseStatus(t, scanRequest("1")); got != 400 {
+		t.Errorf("before the reload, unknown class: got %d, want 400", got)
 	}
-	if got := p.status(t, longTimeoutPost); got != 200 {
-		t.Errorf("before the reload, long timeout: got %d", got)
+	if got := p.responseStatus(t, longTimeoutPost); got != 200 {
+		t.Errorf("before the reload, long timeout: got %d, want 200", got)
 	}
 	if ms := backendtest.Receive(t, "request", timeouts); ms > 4000 {
-		t.Errorf("before the reload, the backend got a timeout of %d ms", ms)
+		t.Errorf("before the reload, the backend got a timeout of %d ms, want at most 4000 ms", ms)
 	}
 
 	p.mustReload(t, changedConfig(t, p, "", lookProfile, scanProfile,
 		postProfile, strings.NewReplacer("8000000", "50000000", "4000000", "40000000").Replace(postProfile),
 		`"dial_timeout_us":5000000`, `"dial_timeout_us":70000`, `"idle_close_us":30000000`, `"idle_close_us":4000000`))
-	if got := p.status(t, scanRequest("2")); got != 200 {
-		t.Errorf("after the reload, added class: got %d", got)
+	if got := p.responseStatus(t, scanRequest("2")); got != 200 {
+		t.Errorf("after the reload, added class: got %d, want 200", got)
 	}
 	backendtest.Receive(t, "request", timeouts)
-	if got := p.status(t, lookRequest("3", 4000)); got != 400 {
-		t.Errorf("after the reload, removed class: got %d", got)
+	if got := p.responseStatus(t, lookRequest("3", 4000)); got != 400 {
+		t.Errorf("after the reload, removed class: got %d, want 400", got)
 	}
-	if got := p.status(t, longTimeoutPost); got != 200 {
-		t.Errorf("after the reload, long timeout: got %d", got)
+	if got := p.responseStatus(t, longTimeoutPost); got != 200 {
+		t.Errorf("after the reload, long timeout: got %d, want 200", got)
 	}
 	if ms := backendtest.Receive(t, "request", timeouts); ms < 20_000 || ms > 40_000 {
-		t.Errorf("after the reload, the backend got a timeout of %d ms", ms)
+		t.Errorf("after the reload, the backend got a timeout of %d ms, want 20,000 to 40,000 ms", ms)
 	}
 	pool := p.loop.pool.Stats()
+	// The pool closes idle connections after three quarters of the time after which backends close them.
 	if pool.DialTimeout != 70*time.Millisecond || pool.IdleTimeout != 3*time.Second || pool.ReuseLimit > pool.IdleTimeout {
-		t.Errorf("dial timeout %v, idle timeout %v, reuse limit %v", pool.DialTimeout, pool.IdleTimeout, pool.ReuseLimit)
+		t.Errorf("dial timeout %v, idle timeout %v, reuse limit %v; want 70 ms, 3 s and at most 3 s", pool.DialTimeout, pool.IdleTimeout, pool.ReuseLimit)
 	}
 }
 
@@ -142,7 +143,7 @@
 		p.mustReload(t, configs[i%2])
 		for range clients {
 			if got := backendtest.Receive(t, "answer", statuses); got != 200 {
-				t.Errorf("reload %d: got %d", i, got)
+				t.Errorf("reload %d: got %d, want 200", i, got)
 			}
 		}
 	}
@@ -157,8 +158,8 @@
 	n := b.Connections.Load()
 	time.Sleep(upstream.ReuseDelay) // after this delay an idle connection may be reused
 	p.mustReload(t, configs[0])
-	if got := p.status(t, shortPost("last")); got != 200 || b.Connections.Load() != n {
-		t.Errorf("got %d; %d connections to the backend so far, %d before the reload", got, b.Connections.Load(), n)
+	if got := p.responseStatus(t, shortPost("last")); got != 200 || b.Connections.Load() != n {
+		t.Errorf("got %d; %d connections to the backend so far, %d before the reload; want 200 and no new connection", got, b.Connections.Load(), n)
 	}
 }
 
@@ -186,18 +187,18 @@
 			cfg.Limits.Sockets = 800
 			invalidate(&cfg)
 			if err := p.Reload(cfg); err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("got %v", err)
+				t.Errorf("got %v, want an error that names the invalid part", err)
 			}
 			if p.loop.settings.Load() != before || p.maxClientConnections() != maxConnections {
 				t.Error("the rejected configuration was applied in part")
 			}
 		})
 	}
-	if got := p.status(t, scanRequest("1")); got != 400 {
-		t.Errorf("class of the rejected settings: got %d", got)
+	if got := p.responseStatus(t, scanRequest("1")); got != 400 {
+		t.Errorf("class of the rejected settings: got %d, want 400", got)
 	}
-	if got := p.status(t, lookRequest("2", 4000)); got != 200 {
-		t.Errorf("class of the settings in force: got %d", got)
+	if got := p.responseStatus(t, lookRequest("2", 4000)); got != 200 {
+		t.Errorf("class of the settings in force: got %d, want 200", got)
 	}
 }
 
@@ -299,14 +300,14 @@
 		c.send(t, "GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n")
 		resp, body := c.readResponse(t)
 		if resp.StatusCode != 200 || strings.Count(body, "\n") != 1 || !strings.HasSuffix(body, "\n") {
-			t.Errorf("got %s %q", resp.Status, body)
+			t.Errorf("got %s %q, want 200 and one line", resp.Status, body)
 		}
 		return body
 	}
 	p.mustReload(t, changedConfig(t, p, "0123456789ab"))
 	at := p.loop.settings.Load().TakenAt.UTC().Format("2006-01-02T15:04:05.000Z")
 	if got := readiness(); got != "ok settings=0123456789ab taken="+at+"\n" {
-		t.Errorf("got %q", got)
+		t.Errorf("got %q, want the version and the time of the reload", got)
 	}
 	p.mustReload(t, changedConfig(t, p, "ba9876543210"))
 	bad := changedConfig(t, p, "bad")
@@ -315,7 +316,7 @@
 		t.Error("a configuration without an address of discovery was accepted")
 	}
 	if got := readiness(); !strings.Contains(got, " settings=ba9876543210 ") {
-		t.Errorf("got %q", got)
+		t.Errorf("got %q, want the version of the last accepted configuration", got)
 	}
 }
 
--- a/internal/proxy/retry_test.go
+++ b/internal/proxy/retry_test.go
@@ -50,13 +50,13 @@
 			c.send(t, rateRequest("1"))
 			resp, _ := c.readResponse(t)
 			if resp.StatusCode != http.StatusBadGateway {
-				t.Errorf("got %s", resp.Status)
+				t.Errorf("got %s, want 502", resp.Status)
 			}
 			if took := time.Since(first); took > window+5*time.Second {
 				t.Errorf("answered after %v", took)
 			}
 			c.Close()
-			checkBegunRequests(t, p, b, 1)
+			checkRequestsStarted(t, p, b, 1)
 		})
 	}
 }
@@ -75,7 +75,7 @@
 	c := connect(t, p)
 	c.send(t, rateRequest("1"))
 	if resp, _ := c.readResponse(t); resp.StatusCode != http.StatusOK || b.Requests.Load() != 2 {
-		t.Errorf("got %s after %d attempts", resp.Status, b.Requests.Load())
+		t.Errorf("got %s after %d attempts, want 200 after 2", resp.Status, b.Requests.Load())
 	}
 }
 
@@ -91,10 +91,10 @@
 		t.Fatal(err)
 	}
 	if body, err := io.ReadAll(resp.Body); !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("got %s with %d bytes, %v", resp.Status, len(body), err)
+		t.Errorf("got %s with %d bytes, %v, want a truncated body", resp.Status, len(body), err)
 	}
 	waitUntilIdle(t, p)
 	if n := b.Requests.Load(); n != 1 {
-		t.Errorf("%d attempts", n)
+		t.Errorf("%d attempts, want 1", n)
 	}
 }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -37,7 +37,7 @@
 		for n := range 5 {
 			c.send(t, lookRequest(fmt.Sprint("n", i, n), 8000))
 			if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" || resp.Close {
-				t.Fatalf("after SIGTERM: got %s, close %v", resp.Status, resp.Close)
+				t.Fatalf("after SIGTERM: got %s, close %v, want 200 and an open connection", resp.Status, resp.Close)
 			}
 		}
 	}
@@ -47,7 +47,7 @@
 	for _, c := range held {
 		all.Go(func() {
 			if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
-				t.Errorf("request open at SIGTERM: got %s, close %v", resp.Status, resp.Close)
+				t.Errorf("request open at SIGTERM: got %s, close %v, want 200 and a closed connection", resp.Status, resp.Close)
 			}
 		})
 	}
@@ -82,18 +82,18 @@
 		all[5].send(t, lookRequest(fmt.Sprint("h", 5+i), 8000))
 		resp, _ := all[5].readResponse(t)
 		if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || resp.Close {
-			t.Fatalf("with 5 of 8 connections in use: got %s %v, close %v", resp.Status, resp.Header, resp.Close)
+			t.Fatalf("with 5 of 8 connections in use: got %s %v, close %v, want 503 with Retry-After and an open connection", resp.Status, resp.Header, resp.Close)
 		}
 	}
 	close(release)
 	for _, c := range all[:5] {
 		if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
-			t.Errorf("slow request: got %s", resp.Status)
+			t.Errorf("slow request: got %s, want 200", resp.Status)
 		}
 	}
 	all[5].send(t, lookRequest("s", 8000))
 	if resp, _ := all[5].readResponse(t); resp.StatusCode != 200 {
-		t.Errorf("with free connections: got %s", resp.Status)
+		t.Errorf("with free connections: got %s, want 200", resp.Status)
 	}
 }
 
@@ -106,7 +106,7 @@
 	start := time.Now()
 	p.stop()
 	if resp, _ := c.readResponse(t); resp.StatusCode == 200 {
-		t.Errorf("got %s", resp.Status)
+		t.Errorf("got %s, want an error", resp.Status)
 	}
 	if err := backendtest.Receive(t, "end of Run", p.done); err != nil {
 		t.Error(err)
@@ -160,7 +160,7 @@
 	p.stop()
 	time.AfterFunc(killDelay+killLeeway+200*time.Millisecond, func() { close(release) })
 	if body, err := io.ReadAll(resp.Body); err != nil || string(body) != distinctText(200_000) {
-		t.Errorf("got %d bytes, %v", len(body), err)
+		t.Errorf("got %d bytes, %v, want the complete body", len(body), err)
 	}
 	if err := backendtest.Receive(t, "end of Run", p.done); err != nil {
 		t.Error(err)
@@ -181,7 +181,7 @@
 	backendtest.Receive(t, "end of accepting", p.server.ServeDone())
 	close(release)
 	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
-		t.Errorf("got %s, close %v", resp.Status, resp.Close)
+		t.Errorf("got %s, close %v, want 200 and a closed connection", resp.Status, resp.Close)
 	}
 	c.Close()
 	backendtest.Receive(t, "end of Shutdown with an incomplete head", ended)
@@ -206,7 +206,7 @@
 	for i, c := range []*testClient{first, second} {
 		c.send(t, shortPost(string(rune('1'+i))))
 		if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
-			t.Errorf("connection %d: got %s", i, resp.Status)
+			t.Errorf("connection %d: got %s, want 200", i, resp.Status)
 		}
 	}
 }
@@ -227,7 +227,7 @@
 	backendtest.WaitUntil(t, func() bool { return p.server.State().Draining || len(p.done) > 0 })
 	close(release)
 	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
-		t.Errorf("got %s", resp.Status)
+		t.Errorf("got %s, want 200", resp.Status)
 	}
 	c.Close()
 	if err := backendtest.Receive(t, "end of Run", p.done); !errors.Is(err, errListenerFailed) {
--- a/internal/proxy/takeover_test.go
+++ b/internal/proxy/takeover_test.go
@@ -34,7 +34,7 @@
 	old := startWithConsole(t, dir, "127.0.0.1:0", d.addr, entries...)
 	before := old.maxClientConnections()
 	if got := callConsole(t, old, "POST /_backends/detach", "a"); got != 200 {
-		t.Fatalf("detach: got %d", got)
+		t.Fatalf("detach: got %d, want 200", got)
 	}
 	end := make(chan struct{})
 	var load sync.WaitGroup
@@ -87,8 +87,8 @@
 	}
 }
 
-// sendUntil sends requests until end is closed. It opens a new connection after five requests, or if the
-// proxy closes one earlier.
+// sendUntil sends requests until end is closed. It opens a new connection after five requests, or earlier if the proxy closes
+// the connection.
 func sendUntil(t *testing.T, end <-chan struct{}, address, client string) {
 	t.Helper()
 	c := newClient(nil)
@@ -197,7 +197,7 @@
 	shared := &runningProxy{Proxy: old.Proxy} // both processes listen at its address
 	resp, err := http.Post("http://"+strings.TrimSpace(line)+"/_backends/detach", "", strings.NewReader("a"))
 	if err != nil || resp.StatusCode != 200 {
-		t.Fatalf("detach at the new process: got %v, %v", resp, err)
+		t.Fatalf("detach at the new process: got %v, %v, want 200", resp, err)
 	}
 	resp.Body.Close()
 	if ok := shared.sendLookups(t, 5); ok != 5 || old.clients.Stats().Open != 0 {
@@ -216,8 +216,8 @@
 	}
 }
 
-// A damaged state file is logged, and only the stored operator state is lost: the proxy serves requests and console calls. If
-// the file is damaged while the proxy runs, the operator state stays in force.
+// A damaged state file is logged, and only the stored operator state is lost: the proxy serves requests and console calls.
+// If the file is damaged while the proxy runs, the operator state stays in force.
 func TestProxyServesWithDamagedStateFile(t *testing.T) {
 	for name, text := range map[string]string{"half": `{"version":3,"det`, "other": `[1,2]`, "empty": "",
 		"binary": "\x00\x01", "numbers": `{"version":"x"}`, "list": `{"version":1,"detached":{"a":1}}`} {
@@ -233,7 +233,7 @@
 				t.Error("the request was not served")
 			}
 			if got := callConsole(t, p, "POST /_backends/detach", "a"); got != 200 {
-				t.Errorf("detach: got %d", got)
+				t.Errorf("detach: got %d, want 200", got)
 			}
 			if err := os.WriteFile(path, []byte(text), 0o600); err != nil { // while the proxy runs
 				t.Fatal(err)
@@ -258,7 +258,7 @@
 	backendtest.Receive(t, "end of Run", p.done)
 	p = startWithConsole(t, dir, "127.0.0.1:0", d.addr, entries...)
 	if got := p.healthStatus(t); got != 503 {
-		t.Errorf("health check: got %d", got)
+		t.Errorf("health check: got %d, want 503", got)
 	}
 	if ok := p.sendLookups(t, 20); ok != 20 || a.Requests.Load() != 0 {
 		t.Errorf("%d of 20 served, %d to the detached backend", ok, a.Requests.Load())
@@ -286,7 +286,7 @@
 	})
 	next := startWithConsole(t, dir, old.Addr(), d.addr, entry)
 	if got := learned(next); got.QuotaMultiplier != 0.5 || got.TierLimit != 9 {
-		t.Errorf("got %+v", got)
+		t.Errorf("got %+v, want the imported quota multiplier 0.5 and tier limit 9", got)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "fernlanding-n0.json.learned"), []byte(`{"at":"now`), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/proxy/validation_test.go
+++ b/internal/proxy/validation_test.go
@@ -60,10 +60,10 @@
 			cl := connect(t, p)
 			cl.send(t, c.text)
 			if resp, _ := cl.readResponse(t); resp.StatusCode != c.want || !resp.Close {
-				t.Errorf("got %s, close %v", resp.Status, resp.Close)
+				t.Errorf("got %s, close %v, want the status of the case and a closed connection", resp.Status, resp.Close)
 			}
 			if rest, _ := io.ReadAll(cl.r); len(rest) > 0 { // a reset also closes the connection
-				t.Errorf("after the response got %q", rest)
+				t.Errorf("after the response got %q, want nothing", rest)
 			}
 		})
 	}
@@ -83,7 +83,7 @@
 		start := time.Now()
 		all.Go(func() {
 			if got, err := io.ReadAll(c.r); err != nil || len(got) > 0 && !strings.HasPrefix(string(got), "HTTP/1.1 4") {
-				t.Errorf("%s: got %q, %v after %v", name, got, err, time.Since(start))
+				t.Errorf("%s: got %q, %v after %v, want a 4xx response or none", name, got, err, time.Since(start))
 			}
 		})
 	}
@@ -102,7 +102,7 @@
 	for _, id := range []string{"1", "2"} {
 		c.send(t, lookRequest(id, 0))
 		if resp, _ := c.readResponse(t); resp.StatusCode != 503 || resp.Close {
-			t.Errorf("got %s, close %v", resp.Status, resp.Close)
+			t.Errorf("got %s, close %v, want 503 and an open connection", resp.Status, resp.Close)
 		}
 	}
 	if n := b.Requests.Load(); n != 0 {
@@ -120,6 +120,6 @@
 	c := connect(t, p)
 	c.send(t, postHead("3", "Content-Length: 3")+"abc")
 	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
-		t.Errorf("got %s", resp.Status)
+		t.Errorf("got %s, want 200", resp.Status)
 	}
 }
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -42,12 +42,12 @@
 	}
 	expectCall("")
 	if got := health(); got != 503 {
-		t.Errorf("health check without a list: got %d", got)
+		t.Errorf("health check without a list: got %d, want 503", got)
 	}
 	d.answers <- listJSON(5, true, listEntry("a", a.Address, discovery.Serving))
 	expectCall("from=5&hold_ms=2000")
 	if got := health(); got != 200 {
-		t.Errorf("health check with a list: got %d", got)
+		t.Errorf("health check with a list: got %d, want 200", got)
 	}
 	for _, invalid := range []string{`{"index":6,"snap`, listJSON(6, false, listEntry("a", "nowhere", discovery.Serving)),
 		listJSON(6, false, listEntry("a", a.Address, "RESTING")), ""} {
@@ -60,7 +60,7 @@
 		d.answers <- listJSON(5, true, listEntry("a", a.Address, discovery.Serving))
 		expectCall("from=5&hold_ms=2000")
 		if got := lookupStatus("x"); got != 200 {
-			t.Errorf("after %q: got %d", invalid, got)
+			t.Errorf("after %q: got %d, want 200", invalid, got)
 		}
 	}
 	d.answers <- listJSON(7, false, listEntry("a", a.Address, discovery.Draining), listEntry("b", b.Address, discovery.Serving))
@@ -68,11 +68,11 @@
 	served := a.Requests.Load()
 	for i := range 20 {
 		if got := lookupStatus(fmt.Sprint("y", i)); got != 200 {
-			t.Errorf("after the drain: got %d", got)
+			t.Errorf("after the drain: got %d, want 200", got)
 		}
 	}
 	if a.Requests.Load() != served || b.Requests.Load() != 20 {
-		t.Errorf("%d requests to the draining backend", a.Requests.Load()-served)
+		t.Errorf("%d requests to the draining backend, want 0, and 20 to the other backend", a.Requests.Load()-served)
 	}
 }
 
@@ -93,12 +93,12 @@
 	c := connect(t, p)
 	c.send(t, lookRequest("1", 4000))
 	if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
-		t.Errorf("got %s", resp.Status)
+		t.Errorf("got %s, want 200", resp.Status)
 	}
 }
 
-// When discovery comes back, it answers only watches that are still open, so the proxy has to keep one open at any time. The
-// fake behaves in the same way.
+// When discovery recovers, it answers only watches that are still open, so the proxy has to keep one open at any time. The
+// fake discovery behaves in the same way.
 func TestWatchIsOpenWhenDiscoveryRecovers(t *testing.T) {
 	a, b := startOKBackend(t), startOKBackend(t)
 	d := startDiscovery(t)
@@ -110,7 +110,7 @@
 	}
 	d.answers <- listJSON(4, false, listEntry("a", a.Address, discovery.Draining))
 	if got := backendtest.Receive(t, "call", d.calls); got != "from=4&hold_ms=2000" {
-		t.Fatalf("the next call is %q", got)
+		t.Fatalf("the next call is %q, want a watch from version 4", got)
 	}
 	before := a.Requests.Load()
 	if ok := p.sendLookups(t, 20); ok != 20 || a.Requests.Load() != before {
@@ -118,9 +118,9 @@
 	}
 }
 
-// startPolling starts a proxy that polls the endpoint list at least once per interval. known is the cached endpoint list
-// that it starts with, or empty.
-func startPolling(t *testing.T, d *fakeDiscovery, interval time.Duration, known string) *runningProxy {
+// startPollingProxy starts a proxy that polls the endpoint list at least once per interval. known is the cached endpoint
+// list that it starts with, or empty.
+func startPollingProxy(t *testing.T, d *fakeDiscovery, interval time.Duration, known string) *runningProxy {
 	t.Helper()
 	replace := strings.NewReplacer(`"automatic"`, `"subscribe"`,
 		`"cold_us"`, fmt.Sprintf(`"ask_every_us":%d,"cold_us"`, interval.Microseconds()))
@@ -132,18 +132,18 @@
 func TestPollDetectsHungWatchInTime(t *testing.T) {
 	a := startOKBackend(t)
 	d := startDiscovery(t)
-	startPolling(t, d, 10*time.Second, listJSON(5, true, listEntry("a", a.Address, discovery.Serving)))
+	startPollingProxy(t, d, 10*time.Second, listJSON(5, true, listEntry("a", a.Address, discovery.Serving)))
 	got := backendtest.Receive(t, "call", d.calls)
 	watchedSince := time.Now()
 	var ms int64
 	if _, err := fmt.Sscanf(got, "from=5&hold_ms=%d", &ms); err != nil || ms > 4000 {
-		t.Errorf("the first call is %q", got)
+		t.Errorf("the first call is %q, want a watch from version 5 of at most 4000 ms", got)
 	}
 	if got := backendtest.Receive(t, "call", d.calls); got != "" {
-		t.Errorf("the call after the timeout is %q", got)
+		t.Errorf("the call after the timeout is %q, want one for the complete list", got)
 	}
 	if took := time.Since(watchedSince); took > 5*time.Second {
-		t.Errorf("the second call came %v after the first", took)
+		t.Errorf("the second call came %v after the first, want at most 5 s", took)
 	}
 }
 
@@ -153,7 +153,7 @@
 	t.Parallel()
 	a, b := startOKBackend(t), startOKBackend(t)
 	d := startDiscovery(t)
-	p := startPolling(t, d, 24*time.Second,
+	p := startPollingProxy(t, d, 24*time.Second,
 		listJSON(5, true, listEntry("a", a.Address, discovery.Serving), listEntry("b", b.Address, discovery.Serving)))
 	backendtest.Receive(t, "watch", d.calls)
 	watchedSince := time.Now()
@@ -162,7 +162,7 @@
 	d.answers <- listJSON(6, true, listEntry("a", a.Address, discovery.Serving), listEntry("b", b.Address, discovery.Draining))
 	backendtest.WaitUntil(t, func() bool { _, ok := p.loop.pool.Find("b"); return !ok })
 	if took := time.Since(watchedSince); took > 6*time.Second {
-		t.Errorf("applied after %v", took)
+		t.Errorf("the change was applied after %v, want at most 6 s", took)
 	}
 }
 
@@ -176,10 +176,10 @@
 	}
 	d.answers <- servingList(a)
 	start := time.Now()
-	p := startPolling(t, d, 24*time.Second, "")
+	p := startPollingProxy(t, d, 24*time.Second, "")
 	backendtest.WaitUntil(t, func() bool { return p.healthStatus(t) == http.StatusOK })
 	if took := time.Since(start); took > 10*time.Second {
-		t.Errorf("ready after %v", took)
+		t.Errorf("ready after %v, want at most 10 s", took)
 	}
 }
 
@@ -209,7 +209,7 @@
 	c := connect(t, p)
 	c.send(t, lookRequest("1", 4000))
 	if resp, _ := c.readResponse(t); resp.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("with all draining: got %s", resp.Status)
+		t.Errorf("with all draining: got %s, want 503", resp.Status)
 	}
 }
 
@@ -274,7 +274,7 @@
 		before, c := target.Requests.Load(), connect(t, p)
 		c.send(t, lookRequest(id, 4000))
 		if resp, _ := c.readResponse(t); resp.StatusCode != 200 || target.Requests.Load() != before+1 {
-			t.Errorf("request %s: got %s, %d more requests to the expected backend", id, resp.Status, target.Requests.Load()-before)
+			t.Errorf("request %s: got %s, %d more requests to the expected backend; want 200 and 1", id, resp.Status, target.Requests.Load()-before)
 		}
 	}
 	expectCall := func(target *fakeDiscovery, want string) {
@@ -307,7 +307,7 @@
 			t.Error(err)
 		}
 	}
-	for range cap(services[0].answers) { // calls that have ended may take some of them
+	for range cap(services[0].answers) { // calls that have ended may take some of the answers
 		services[0].answers <- servingList(a)
 	}
 	backendtest.WaitUntil(t, func() bool {
