--- a/test.sh
+++ b/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Runs the whole test suite: formatting, vet, staticcheck (all checks, see staticcheck.conf), tests, and checks of the
-# files of decisions that deploy/balancer.toml names under "policy".
+# files of decisions that deploy/balancer.toml names under "policy". Tests in KNOWN-RED.txt may fail.
 set -euo pipefail
 cd "$(dirname "$0")"
 
@@ -50,8 +50,30 @@
   [ -z "$long" ] || fail "lines over $max_columns columns" "$long"
 }
 
+# known_red prints the tests of KNOWN-RED.txt, one a line with its package.
+known_red() {
+  [ ! -f KNOWN-RED.txt ] || sed -n 's/^\(Test[A-Za-z0-9_]* [^ ]*\)$/\1/p' KNOWN-RED.txt
+}
+
+# run_tests runs all tests, and fails unless those that are not in KNOWN-RED.txt pass.
+run_tests() {
+  local names name package output result
+  names=$(known_red | cut -d' ' -f1 | paste -sd'|')
+  if [ -z "$names" ]; then
+    go test -race ./...
+    return
+  fi
+  go test -race -skip "^($names)\$" ./...
+  while read -r name package; do
+    result=passed
+    output=$(go test -race -run "^$name\$" "$package" 2>&1) || result=failed
+    echo "known red: $name in $package $result"
+    [ $result = passed ] || sed 's/^/  | /' <<<"$output"
+  done < <(known_red)
+}
+
 check_formatting
 go vet ./...
 go tool staticcheck ./...
-go test -race ./...
+run_tests
 check_policy
