--- a/.ci/start/main.go
+++ b/.ci/start/main.go
@@ -61,11 +61,11 @@
 	return p.waitForExit()
 }
 
-// proxy is the proxy's process.
+// proxy is a started process of the proxy.
 type proxy struct {
 	command *exec.Cmd
-	address string // host:port for clients
-	exited  chan error
+	address string     // host:port for clients
+	exited  chan error // receives the result of exec.Cmd.Wait once the process has exited
 }
 
 // startProxy writes the proxy's configuration file to a directory and starts the proxy with it.
--- a/cmd/scale/main_test.go
+++ b/cmd/scale/main_test.go
@@ -160,7 +160,7 @@
 	out     bytes.Buffer
 	errors  bytes.Buffer
 	reports net.Listener // accepts the connections of the children
-	folder  string
+	folder  string       // working directory of the command
 }
 
 func startCommand(t *testing.T, args ...string) *commandRun {
--- a/cmd/scale/run.go
+++ b/cmd/scale/run.go
@@ -76,7 +76,7 @@
 		return env, fmt.Errorf("--memory-mb %d: negative", c.MemoryMB)
 	}
 	if c.MemoryMB > 0 {
-		env.Budget.LowerMemory(c.MemoryMB << 20)
+		env.Budget.LowerMemoryLimit(c.MemoryMB << 20)
 	}
 	var err error
 	if env.ProxyProgram, err = findProxy(c.Proxy); err != nil {
@@ -146,8 +146,8 @@
 	}
 }
 
-// causeOf returns the cause of the end of the context if it has ended, since err is then a consequence of that, or else
-// err.
+// causeOf returns the cause of the context's end if the context has ended, since err is then only a consequence of that.
+// Otherwise, it returns err.
 func causeOf(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
--- a/internal/scale/affinity.go
+++ b/internal/scale/affinity.go
@@ -79,13 +79,14 @@
 // system call, as load generators do. GOMAXPROCS is raised by this number, so that other goroutines can run meanwhile.
 const pacingGoroutines = 2
 
-// RestrictToCores restricts every thread of the tool to the given cores.
+// RestrictToCores restricts every thread of the tool to the given cores, and sets GOMAXPROCS to their number plus
+// pacingGoroutines.
 func RestrictToCores(cores []int) error {
 	mask, err := maskOf(cores)
 	if err != nil {
 		return err
 	}
-	for range 2 { // a thread that starts during the first pass may inherit the old set
+	for range 2 { // a thread that starts during the first pass may inherit the previous mask
 		if err := setAllThreads(mask); err != nil {
 			return err
 		}
--- a/internal/scale/budget.go
+++ b/internal/scale/budget.go
@@ -30,7 +30,7 @@
 	processes    int
 	maxProcesses int
 	maxMemory    int64 // in bytes
-	started      map[*Process]bool
+	started      map[*Process]bool // processes that have started and not ended
 }
 
 // NewBudget returns the budget of one run: at most MaxProcesses processes and half of the machine's memory.
@@ -38,9 +38,9 @@
 	return &Budget{maxProcesses: MaxProcesses, maxMemory: machineMemory() / memoryDivisor, started: map[*Process]bool{}}
 }
 
-// LowerMemory lowers the memory limit to the given number of bytes. It has no effect if the limit is already
+// LowerMemoryLimit lowers the memory limit to the given number of bytes. It has no effect if the limit is already
 // lower.
-func (b *Budget) LowerMemory(bytes int64) {
+func (b *Budget) LowerMemoryLimit(bytes int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.maxMemory = min(b.maxMemory, bytes)
--- a/internal/scale/depth/chain.go
+++ b/internal/scale/depth/chain.go
@@ -37,6 +37,7 @@
 	nonIdempotentClass: newClass(balancer.NotIdempotent, 0),
 }
 
+// newClass returns a class of calls. All durations are in microseconds.
 func newClass(idempotency balancer.Idempotency, dedupWindow balancer.Microseconds) balancer.Class {
 	return balancer.Class{
 		LatencyObjective: 300_000,
@@ -48,7 +49,8 @@
 	}
 }
 
-// settings returns the settings of a proxy. They set no retry budget, so that the balancer's default applies.
+// settings returns the settings of a proxy, with durations in microseconds. They set no retry budget, so that the
+// balancer's default applies.
 func settings(tier, replicas, replicaIndex int) balancer.Settings {
 	return balancer.Settings{
 		Tier:              tier,
@@ -106,6 +108,7 @@
 			c.frontProxies = proxies
 			continue
 		}
+		// The backends of the previous tier, whose number is index, each send their calls through one of these proxies.
 		for i, name := range backendNames(index, s.backends) {
 			if err := c.tiers[index-1].Connect(name, proxies[i]); err != nil {
 				return nil, err
@@ -115,7 +118,8 @@
 	return c, nil
 }
 
-// newProxies returns the proxies that send attempts to a tier. They know the tier's backends from the start.
+// newProxies returns the proxies that send attempts to the tier with the given index, which starts at 0. They know the
+// tier's backends from the start.
 func newProxies(index, senders, backends int, tier *backend.Tier, seeds *rand.Rand) ([]*hollow.Proxy, error) {
 	known := tierList(index+1, backends)
 	var proxies []*hollow.Proxy
@@ -136,7 +140,7 @@
 	return proxies, nil
 }
 
-// backendNames returns the names of the backends of a tier; tiers are numbered from 1.
+// backendNames returns the names of the backends of the tier with the given number, which starts at 1.
 func backendNames(tier, backends int) []string {
 	var names []string
 	for i := range backends {
--- a/internal/scale/depth/depth.go
+++ b/internal/scale/depth/depth.go
@@ -84,11 +84,11 @@
 		fmt.Sprintf("A backend has a mean service time of %v, %d workers and a queue of %d; the mean network latency is %v each "+
 			"way. Calls have a deadline of one second; an attempt at the next tier gets the time that remains.",
 			meanServiceTime, workers, queueSize, networkLatency),
-		fmt.Sprintf("The time is %v without fault, %v with the fault, and %v after it, or %v where no call could be served; "+
+		fmt.Sprintf("A case lasts %v without fault, %v with it, and %v after it, or %v where no call could be served; "+
 			"the fractions and attempts are measured during the fault.", s.settle, s.fault, s.recovery, s.longRecovery),
 		"In real time a short wait lasts up to a millisecond longer, so that a step takes longer than the sum of its mean times.",
-		"Retry budgets are the balancer's defaults: at each proxy, 5 and a tenth of its calls, over 10 s. The target, 1.1^12, " +
-			"is the effect of that tenth alone over 12 steps; a proxy may spend the budget of 10 s in one second.",
+		"Retry budgets are the balancer's defaults: at each proxy, 5 retries and a tenth of its calls, over 10 s. The " +
+			"target, 1.1^12, is the effect of that tenth alone over 12 steps; a proxy may spend the budget of 10 s in one second.",
 	}
 }
 
--- a/internal/scale/depth/depth_test.go
+++ b/internal/scale/depth/depth_test.go
@@ -108,7 +108,7 @@
 		}
 	}
 	deepest := r.counts[len(r.counts)-1]
-	if got := deepest.ArrivalsByClass[nonIdempotentClass]; got > nonIdempotentCalls { // no queue was full
+	if got := deepest.ArrivalsByClass[nonIdempotentClass]; got > nonIdempotentCalls { // no queue was full, so none may be retried
 		t.Errorf("%d attempts of non-idempotent calls at the deepest tier for %d calls", got, nonIdempotentCalls)
 	}
 }
--- a/internal/scale/depth/simulation.go
+++ b/internal/scale/depth/simulation.go
@@ -79,87 +79,87 @@
 	ctx, stop := context.WithCancel(ctx)
 	var proxies sync.WaitGroup
 	proxies.Go(func() { c.run(ctx) })
-	p := &simulation{size: s, chain: c, random: rand.New(rand.NewPCG(seed, 1)), start: time.Now()}
-	err = p.runSchedule(ctx, faults)
-	p.pendingCalls.Wait()
+	sim := &simulation{size: s, chain: c, random: rand.New(rand.NewPCG(seed, 1)), start: time.Now()}
+	err = sim.runSchedule(ctx, faults)
+	sim.pendingCalls.Wait()
 	stop()
 	proxies.Wait()
 	if err != nil {
 		return nil, fmt.Errorf("simulate a chain: %w", err)
 	}
 	for _, t := range c.tiers {
-		p.recording.counts = append(p.recording.counts, t.Counts())
+		sim.recording.counts = append(sim.recording.counts, t.Counts())
 	}
-	return &p.recording, nil
+	return &sim.recording, nil
 }
 
 // runSchedule makes the calls, takes the samples, and begins and ends the faults.
-func (p *simulation) runSchedule(ctx context.Context, faults backend.Faults) error {
-	next := p.nextInterval()
-	for tick := time.Duration(0); tick <= p.end(); tick += sampleInterval {
-		for ; next < tick; next += p.nextInterval() {
-			if err := p.waitUntil(ctx, next); err != nil {
+func (sim *simulation) runSchedule(ctx context.Context, faults backend.Faults) error {
+	next := sim.nextInterval()
+	for tick := time.Duration(0); tick <= sim.end(); tick += sampleInterval {
+		for ; next < tick; next += sim.nextInterval() {
+			if err := sim.waitUntil(ctx, next); err != nil {
 				return err
 			}
-			p.call(ctx)
+			sim.call(ctx)
 		}
-		if err := p.waitUntil(ctx, tick); err != nil {
+		if err := sim.waitUntil(ctx, tick); err != nil {
 			return err
 		}
-		if err := p.updateFaults(tick, faults); err != nil {
+		if err := sim.updateFaults(tick, faults); err != nil {
 			return err
 		}
-		p.sample()
+		sim.sample()
 	}
 	return nil
 }
 
 // nextInterval returns a random time until the next call. The calls are a Poisson process.
-func (p *simulation) nextInterval() time.Duration {
-	return time.Duration(p.random.ExpFloat64() / p.rate * float64(time.Second))
+func (sim *simulation) nextInterval() time.Duration {
+	return time.Duration(sim.random.ExpFloat64() / sim.rate * float64(time.Second))
 }
 
 // waitUntil waits until the given time since the start. It returns an error if the context has ended.
-func (p *simulation) waitUntil(ctx context.Context, at time.Duration) error {
-	return timing.Wait(ctx, time.Until(p.start.Add(at)))
+func (sim *simulation) waitUntil(ctx context.Context, at time.Duration) error {
+	return timing.Wait(ctx, time.Until(sim.start.Add(at)))
 }
 
 // updateFaults begins or ends the faults if that is due at the given tick.
-func (p *simulation) updateFaults(tick time.Duration, faults backend.Faults) error {
+func (sim *simulation) updateFaults(tick time.Duration, faults backend.Faults) error {
 	switch tick {
-	case p.settle:
-		return p.chain.deepestTier().SetFaults(faults)
-	case p.settle + p.fault:
-		return p.chain.deepestTier().SetFaults(backend.Faults{})
+	case sim.settle:
+		return sim.chain.deepestTier().SetFaults(faults)
+	case sim.settle + sim.fault:
+		return sim.chain.deepestTier().SetFaults(backend.Faults{})
 	}
 	return nil
 }
 
-func (p *simulation) sample() {
-	s := sample{at: time.Since(p.start), calls: len(p.recording.calls)}
-	for _, t := range p.chain.tiers {
+func (sim *simulation) sample() {
+	s := sample{at: time.Since(sim.start), calls: len(sim.recording.calls)}
+	for _, t := range sim.chain.tiers {
 		counts := t.Counts()
 		s.arrivalsByTier = append(s.arrivalsByTier, counts.Arrivals)
 		s.arrivalsByClass = counts.ArrivalsByClass // the last assignment is that of the deepest tier
 	}
-	p.recording.samples = append(p.recording.samples, s)
+	sim.recording.samples = append(sim.recording.samples, s)
 }
 
 // call makes one call through a random front proxy.
-func (p *simulation) call(ctx context.Context) {
-	u := &userCall{start: time.Since(p.start), class: p.randomClass()}
-	front := p.chain.frontProxies[p.random.IntN(len(p.chain.frontProxies))]
-	p.recording.calls = append(p.recording.calls, u)
-	deadline := p.start.Add(u.start + classes[u.class].Deadline.Duration())
-	call := hollow.Call{ID: "user/" + strconv.Itoa(len(p.recording.calls)), Class: u.class, Deadline: deadline, Depth: 1}
-	p.pendingCalls.Go(func() {
+func (sim *simulation) call(ctx context.Context) {
+	u := &userCall{start: time.Since(sim.start), class: sim.randomClass()}
+	front := sim.chain.frontProxies[sim.random.IntN(len(sim.chain.frontProxies))]
+	sim.recording.calls = append(sim.recording.calls, u)
+	deadline := sim.start.Add(u.start + classes[u.class].Deadline.Duration())
+	call := hollow.Call{ID: "user/" + strconv.Itoa(len(sim.recording.calls)), Class: u.class, Deadline: deadline, Depth: 1}
+	sim.pendingCalls.Go(func() {
 		u.outcome = front.Call(ctx, call).Outcome
 		u.inTime = u.outcome == hollow.Served && !time.Now().After(deadline)
 	})
 }
 
-func (p *simulation) randomClass() int {
-	x := p.random.Float64()
+func (sim *simulation) randomClass() int {
+	x := sim.random.Float64()
 	switch {
 	case x < idempotentRatio:
 		return idempotentClass
--- a/internal/scale/experiment.go
+++ b/internal/scale/experiment.go
@@ -11,7 +11,7 @@
 
 // Experiment is one measurement of proxies at scale.
 type Experiment struct {
-	Name    string // one word, as given on the command line
+	Name    string // one word, as the user gives it on the command line
 	Summary string // one line: what it measures
 	Run     func(ctx context.Context, env Env) (Result, error)
 
@@ -52,7 +52,7 @@
 	Value    float64  `json:"value"`
 	Target   *float64 `json:"target,omitempty"` // largest acceptable Value; nil if there is none
 	Source   Source   `json:"source"`
-	Samples  int      `json:"samples,omitempty"` // number of measurements behind the value; 0: one
+	Samples  int      `json:"samples,omitempty"` // number of measurements behind the value; 0 means one
 }
 
 // Target returns a value for Figure.Target.
@@ -77,7 +77,7 @@
 	Duration   time.Duration `json:"took_ns"`
 	Seed       uint64        `json:"seed"`
 	Small      bool          `json:"small"`
-	Commit     string        `json:"commit"` // of the measured program, with "+changes" if its tree had any; may be empty
+	Commit     string        `json:"commit"` // of the measured program; with "+changes" if some were uncommitted; empty if unknown
 	Machine    Machine       `json:"machine"`
 	Figures    []Figure      `json:"figures"`
 	Notes      []string      `json:"notes,omitempty"` // sizes and limitations of the run, one sentence each
--- a/internal/scale/latency/chain.go
+++ b/internal/scale/latency/chain.go
@@ -64,7 +64,7 @@
 	return c, nil
 }
 
-// addTier adds a tier with its proxy in front of the chain.
+// addTier adds a tier with its proxy at the front of the chain.
 func (b chainBuilder) addTier(ctx context.Context, c *chain, tier int) error {
 	backend, err := traffic.StartBackend(c.client, b.env.Log)
 	if err != nil {
--- a/internal/scale/latency/latency.go
+++ b/internal/scale/latency/latency.go
@@ -11,7 +11,7 @@
 	"baylock/internal/scale"
 )
 
-// Experiment is the "latency" experiment.
+// Experiment measures one proxy at several rates, and a chain of proxies at one of these rates.
 var Experiment = scale.Experiment{
 	Name:       "latency",
 	Summary:    "latency that a real proxy adds to calls at several rates, and that a chain of 13 adds",
@@ -29,7 +29,7 @@
 type stage struct {
 	depth  int
 	rate   float64 // calls per second
-	blocks int     // number of blocks of direct calls, and of blocks of calls through the proxies
+	blocks int     // number of blocks of direct calls, and also of blocks of calls through the proxies
 }
 
 func (s stage) name() string {
@@ -96,13 +96,14 @@
 
 func notes(p plan, proxyCores, allCores []int) []string {
 	list := []string{
-		fmt.Sprintf("All proxies, each with a limit of 1 core, ran on core %v; the tool, its clients and its backends ran on "+
-			"the other cores of %v. The proxies of the chain shared one core, so its figures include the waits for it.",
+		fmt.Sprintf("All proxies, each with a limit of 1 core, ran on core %v of the allowed cores %v; the tool, its clients "+
+			"and its backends ran on the others, if any. The proxies of the chain shared one core, and its figures include the "+
+			"time that they waited for it.",
 			proxyCores, allCores),
-		fmt.Sprintf("Open loop, Poisson arrivals; latency counts from the intended start of a call to its last byte. Blocks "+
-			"of %v of direct calls and of calls through the proxies alternated, with the same arrivals, after %v of each.",
+		fmt.Sprintf("Open loop, Poisson arrivals; latency counts from the intended start of a call to its last byte. Blocks of %v "+
+			"of direct calls and of calls through the proxies alternated, with the same arrivals, after a warm-up of %v of each.",
 			p.blockDuration, p.warmUp),
-		"Added, by percentiles: the percentile through the proxies less that of the direct calls. Added to the median: the " +
+		"Added by percentiles: the percentile through the proxies less that of the direct calls. Added to the median: the " +
 			"percentile through the proxies less the median of the direct calls; this includes all noise of the machine.",
 		fmt.Sprintf("Each list has %d endpoints, all with the address of one server in the tool. In the chain, that server "+
 			"calls the next tier's proxy, or in the direct case the next tier's server, before it responds.", p.listSize),
--- a/internal/scale/latency/latency_test.go
+++ b/internal/scale/latency/latency_test.go
@@ -71,15 +71,15 @@
 	if len(c.proxies) != depth || len(c.backends) != depth {
 		t.Fatalf("got %d proxies, %d backends", len(c.proxies), len(c.backends))
 	}
-	for tier, backend := range c.backends {
+	for i, backend := range c.backends { // the last tier's first
 		if backend.Calls() < recorded.calls.TotalCount() || backend.Calls() == 0 {
 			t.Errorf("backend %d: received %d calls, but %d were served",
-				tier, backend.Calls(), recorded.calls.TotalCount())
+				i, backend.Calls(), recorded.calls.TotalCount())
 		}
 	}
-	for tier, proxy := range c.proxies {
+	for i, proxy := range c.proxies { // the last tier's first
 		if usage, err := proxy.Usage(); err != nil || usage.ReadBytes == 0 {
-			t.Errorf("proxy %d: got usage %+v, error %v", tier, usage, err)
+			t.Errorf("proxy %d: got usage %+v, error %v", i, usage, err)
 		}
 	}
 }
--- a/internal/scale/latency/measure.go
+++ b/internal/scale/latency/measure.go
@@ -59,7 +59,7 @@
 // measurement holds the results of a stage.
 type measurement struct {
 	direct, proxied *callTimes
-	proxyCores      float64 // mean CPU use of all proxies, in cores, during the calls through them
+	proxyCores      float64 // mean CPU use of all proxies together, in cores, during the calls through them
 }
 
 // measureStage builds both chains, warms them up and measures one stage.
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -17,12 +17,12 @@
 // stopTimeout is the time between SIGTERM and SIGKILL.
 const stopTimeout = 3 * time.Second
 
-const logTailBytes = 8 << 10 // kept of the end of a process's output, for error messages
+const logTailBytes = 8 << 10 // number of bytes kept from the end of a process's output, for error messages
 
 // ErrProcessEnded reports that a process has ended.
 var ErrProcessEnded = errors.New("the process has ended")
 
-// Program is a program to start.
+// Program configures a program for StartProgram.
 type Program struct {
 	Path  string
 	Args  []string
--- a/internal/scale/propagation/changes.go
+++ b/internal/scale/propagation/changes.go
@@ -16,8 +16,8 @@
 	random    *rand.Rand
 	lists     []string // endpoint list of each backend
 	endpoints []discovery.Endpoint
-	order     []int
-	next      int
+	order     []int // indexes of the backends, in the order in which the current round changes them
+	next      int   // number of changes so far
 }
 
 func newChangeGenerator(random *rand.Rand) *changeGenerator { return &changeGenerator{random: random} }
@@ -75,7 +75,7 @@
 		list, e := f.changes.nextChange(time.Now())
 		region := regionOf(e.Zone)
 		err := f.tracker.publish(list, region, e, func() (time.Time, error) {
-			accepted, err := f.real.publish(func() (registry.Change, error) { return f.service.Publish(list, region, e) })
+			accepted, err := f.real.publish(func() (registry.Change, error) { return f.registry.Publish(list, region, e) })
 			return accepted.At, err
 		})
 		if err != nil {
--- a/internal/scale/propagation/fleet.go
+++ b/internal/scale/propagation/fleet.go
@@ -16,7 +16,7 @@
 
 const (
 	startTimeout = 30 * time.Second       // for the initial proxies to receive their complete lists
-	startPause   = 100 * time.Millisecond // then, so that the last of these responses are not measured
+	startPause   = 100 * time.Millisecond // pause after these responses, so that the last of them are not measured
 )
 
 var errNotStarted = errors.New("the initial proxies did not receive their complete endpoint lists in time")
@@ -31,7 +31,7 @@
 // fleet is an emulated discovery service and the proxies that watch its lists.
 type fleet struct {
 	fleetConfig
-	service  *registry.Service
+	registry *registry.Service
 	tracker  *tracker
 	changes  *changeGenerator
 	random   *rand.Rand // for the scenario's random choices
@@ -64,7 +64,7 @@
 	}
 	f := &fleet{
 		fleetConfig: config,
-		service:     service,
+		registry:    service,
 		tracker:     newTracker(),
 		changes:     newChangeGenerator(stream(changeStream)),
 		random:      stream(scenarioStream),
@@ -79,13 +79,13 @@
 }
 
 // populate publishes the initial backends and creates the proxies. There is one proxy on the machine of each
-// backend; it watches the list of the next service.
+// backend; it watches the endpoint list of the service that follows the backend's own.
 func (f *fleet) populate(ctx context.Context, seeds *rand.Rand) error {
 	published := map[string]map[string][]discovery.Endpoint{} // by list and region
 	for i := range f.size.proxies {
 		z := zones()[i%len(zones())]
 		service := i % f.size.services
-		own, calls := listName(service), listName((service+1)%f.size.services)
+		own, watched := listName(service), listName((service+1)%f.size.services)
 		e := discovery.Endpoint{Name: fmt.Sprintf("backend-%03d", i), Zone: z.name, Cell: i % len(zones()),
 			Address: fmt.Sprintf("127.0.0.1:%d", 20000+i), Status: discovery.Serving}
 		if published[own] == nil {
@@ -95,7 +95,7 @@
 		f.backends[own]++
 		f.changes.add(own, e)
 		f.tracker.setInitial(e)
-		w := &watcher{zone: i % len(zones()), replicaIndex: i / f.size.services, list: calls, seed: seeds.Uint64(),
+		w := &watcher{zone: i % len(zones()), replicaIndex: i / f.size.services, list: watched, seed: seeds.Uint64(),
 			location: registry.Location{Name: fmt.Sprintf("proxy-%03d", i), Zone: z.name, Region: z.region}}
 		if err := f.connect(w); err != nil {
 			return err
@@ -108,7 +108,7 @@
 			if len(endpoints) == 0 {
 				continue
 			}
-			if _, err := f.service.Publish(listName(service), region, endpoints...); err != nil {
+			if _, err := f.registry.Publish(listName(service), region, endpoints...); err != nil {
 				return err
 			}
 		}
@@ -120,7 +120,7 @@
 
 // connect sets the address of the discovery service for a proxy, and its dialer, which counts the proxy's bytes.
 func (f *fleet) connect(w *watcher) error {
-	address, dial, err := f.network(f.service, w.list, w.location)
+	address, dial, err := f.network(f.registry, w.list, w.location)
 	if err != nil {
 		return err
 	}
@@ -169,11 +169,12 @@
 	f.tracker.wait(ctx, f.size.settle, func() bool { return f.tracker.allInForce() && f.real.allSeen() })
 }
 
-// close stops the proxies and the service. The caller must already have cancelled the context that they run in.
+// close stops the proxies and the discovery service. The caller must already have cancelled the context in which they
+// run.
 func (f *fleet) close() {
 	for _, w := range f.watchers {
 		w.stop()
 	}
 	f.real.stop()
-	f.service.Close()
+	f.registry.Close()
 }
--- a/internal/scale/propagation/latencies.go
+++ b/internal/scale/propagation/latencies.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	longestLatency     = time.Hour
-	significantFigures = 4
+	longestLatency    = time.Hour
+	significantDigits = 4
 )
 
 // latencyHistogram is a histogram of latencies in microseconds, with four significant digits.
 type latencyHistogram struct{ histogram *hdrhistogram.Histogram }
 
 func newLatencyHistogram() *latencyHistogram {
-	return &latencyHistogram{hdrhistogram.New(1, longestLatency.Microseconds(), significantFigures)}
+	return &latencyHistogram{hdrhistogram.New(1, longestLatency.Microseconds(), significantDigits)}
 }
 
 func (l *latencyHistogram) add(d time.Duration) {
--- a/internal/scale/propagation/load.go
+++ b/internal/scale/propagation/load.go
@@ -18,12 +18,14 @@
 	phase      string
 	phaseStart time.Time
 	loads      []load
-	traffic    []int64 // bytes of each proxy: at the start, and in the end over all phases
+	// traffic holds the bytes on each proxy's discovery connections: those before the first phase until endLoadPhases,
+	// and then those of all phases.
+	traffic []int64
 }
 
 // beginLoadPhases begins the first phase.
 func (f *fleet) beginLoadPhases() {
-	f.service.Usage() // discards the usage so far
+	f.registry.Usage() // discards the usage so far
 	f.load.phaseStart = time.Now()
 	for _, w := range f.watchers {
 		f.load.traffic = append(f.load.traffic, w.traffic.Load())
@@ -33,7 +35,7 @@
 // nextLoadPhase ends the current phase and begins one with the given name.
 func (f *fleet) nextLoadPhase(phase string) {
 	now := time.Now()
-	f.load.loads = append(f.load.loads, load{f.load.phase, now.Sub(f.load.phaseStart), f.service.Usage()})
+	f.load.loads = append(f.load.loads, load{f.load.phase, now.Sub(f.load.phaseStart), f.registry.Usage()})
 	f.load.phase, f.load.phaseStart = phase, now
 }
 
--- a/internal/scale/propagation/propagation.go
+++ b/internal/scale/propagation/propagation.go
@@ -31,7 +31,7 @@
 	seed     uint64
 }
 
-// name is the Case of the job's figures.
+// name is the Case of the job's figures, in which "asked" means that lists are polled.
 func (j job) name() string {
 	if j.poll {
 		return "asked, " + j.scenario.name
@@ -50,7 +50,7 @@
 
 // maxParallelJobs returns how many jobs can run in parallel within the limit of file descriptors. It is at least 1.
 func maxParallelJobs(size size) int {
-	const perProxy = 4 // for a listener, both ends of a connection, and sometimes those of a second connection
+	const perProxy = 4 // a listener, both ends of a connection, and one to spare, as some have a second connection
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return 1
@@ -107,7 +107,7 @@
 		return nil, err
 	}
 	if env.ProxyProgram != "" && j.scenario.hasRealProxies() {
-		if err := f.startReal(ctx, env); err != nil {
+		if err := f.startRealProxies(ctx, env); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/scale/propagation/propagation_test.go
+++ b/internal/scale/propagation/propagation_test.go
@@ -215,13 +215,13 @@
 	for _, j := range jobs {
 		figures := seen[j.name()]
 		if f := figures["changes never in force"]; f.Value != 0 || f.Samples == 0 {
-			t.Errorf("%s: %+v", j.name(), f)
+			t.Errorf("%s: want changes, all of them in force, got figure %+v", j.name(), f)
 		}
 		if f := figures["bytes of a proxy, mean of all"]; f.Value <= 0 || f.Target == nil {
-			t.Errorf("%s: %+v", j.name(), f)
+			t.Errorf("%s: want bytes of a proxy with a target, got figure %+v", j.name(), f)
 		}
 		if f, ok := figures["calls at a replica, busiest second"]; ok != j.poll || j.poll && f.Value <= 0 {
-			t.Errorf("%s: %+v", j.name(), f)
+			t.Errorf("%s: want calls at a replica if and only if lists are polled, got figure %+v", j.name(), f)
 		}
 	}
 	if len(result.Notes) == 0 {
--- a/internal/scale/propagation/real.go
+++ b/internal/scale/propagation/real.go
@@ -39,13 +39,13 @@
 	return &realProxies{proxies: map[string]*realProxy{}, times: newLatencyHistogram()}
 }
 
-// startReal starts the real proxies and distributes them over the zones and the lists in rotation.
-func (f *fleet) startReal(ctx context.Context, env scale.Env) error {
+// startRealProxies starts the real proxies and distributes them over the zones and the lists in rotation.
+func (f *fleet) startRealProxies(ctx context.Context, env scale.Env) error {
 	for i := range f.size.realProxies {
 		z := zones()[i%len(zones())]
 		name := fmt.Sprintf("real-%02d", i)
 		list := listName(i % f.size.services)
-		address, err := f.service.Listen(list, registry.Location{Name: name, Zone: z.name, Region: z.region})
+		address, err := f.registry.Listen(list, registry.Location{Name: name, Zone: z.name, Region: z.region})
 		if err != nil {
 			return err
 		}
@@ -108,8 +108,8 @@
 	return accepted, nil
 }
 
-// observe handles a request to the discovery service: if it is a real proxy's, it marks the changes that the proxy has
-// seen.
+// observe handles a request to the discovery service. If a real proxy sent it, observe marks the changes that this
+// proxy has seen.
 func (r *realProxies) observe(o registry.Observation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/scale/propagation/scenario.go
+++ b/internal/scale/propagation/scenario.go
@@ -53,7 +53,7 @@
 	}
 	f.nextLoadPhase(afterKill)
 	f.tracker.beginOutage(notYetReplicated(time.Now()))
-	if err := f.service.Kill(killedReplica); err != nil {
+	if err := f.registry.Kill(killedReplica); err != nil {
 		return err
 	}
 	if err := timing.Wait(ctx, f.size.outage); err != nil {
@@ -61,7 +61,7 @@
 	}
 	f.nextLoadPhase(atRecovery)
 	f.tracker.endOutage(time.Now())
-	if err := f.service.Restart(killedReplica); err != nil {
+	if err := f.registry.Restart(killedReplica); err != nil {
 		return err
 	}
 	return timing.Wait(ctx, f.size.afterFault)
@@ -73,7 +73,7 @@
 		return err
 	}
 	for range f.size.silences {
-		f.service.SilenceWatches()
+		f.registry.SilenceWatches()
 		if err := timing.Wait(ctx, interval); err != nil {
 			return err
 		}
@@ -97,8 +97,8 @@
 	f.tracker.beginOutage(func(w *watcher, c *change) bool {
 		return w.location.Zone == isolatedZone || notReplicated(w, c)
 	})
-	f.service.CutZone(isolatedZone)
-	return runRecovery(ctx, f, f.size.outage, func() { f.service.HealZone(isolatedZone) })
+	f.registry.CutZone(isolatedZone)
+	return runRecovery(ctx, f, f.size.outage, func() { f.registry.HealZone(isolatedZone) })
 }
 
 func runPartition(ctx context.Context, f *fleet) error {
@@ -106,8 +106,8 @@
 		return err
 	}
 	f.tracker.beginOutage(func(w *watcher, c *change) bool { return w.location.Region != c.region })
-	f.service.CutRegions()
-	return runRecovery(ctx, f, f.size.partition, f.service.HealRegions)
+	f.registry.CutRegions()
+	return runRecovery(ctx, f, f.size.partition, f.registry.HealRegions)
 }
 
 // runRecovery waits for the length of an outage, ends the outage, and waits until the end of the scenario.
--- a/internal/scale/propagation/size.go
+++ b/internal/scale/propagation/size.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	changesPerDay = 2200
+	changesPerDay = 2200 // of the modelled service
 	day           = 24 * time.Hour
 
 	replicationDelay = 50 * time.Millisecond // between replicas of the emulated discovery service
@@ -14,12 +14,13 @@
 
 // size holds the sizes and durations of the scenarios.
 type size struct {
-	proxies, services int
-	realProxies       int           // in addition to proxies, in scenarios without outage or late start
-	changeRate        float64       // changes per second
-	replicaCallRate   float64       // capacity of a replica in requests per second, where lists are polled
-	startSpread       time.Duration // time span in which the initial proxies start
-	parallel          int           // jobs that run in parallel, each with its own discovery service and proxies
+	proxies         int           // hollow proxies, one on the machine of each backend
+	services        int           // services that the backends belong to, each with its own endpoint list
+	realProxies     int           // in addition to proxies, in scenarios without outage or late start
+	changeRate      float64       // changes per second
+	replicaCallRate float64       // capacity of a replica in requests per second, where lists are polled
+	startSpread     time.Duration // time span in which the initial proxies start
+	parallel        int           // jobs that run in parallel, each with its own discovery service and proxies
 
 	beforeFault          time.Duration // before the first fault
 	faultFree            time.Duration // of the scenario without a fault
@@ -73,7 +74,7 @@
 		fmt.Sprintf("Faults: a replica is down or a zone isolated for %v, the regions partitioned for %v, all watches go silent %d "+
 			"times, %v or %v apart, and %d proxies restart within %v, each with its last list and a down time of %v.",
 			s.outage, s.partition, s.silences, s.longSilenceInterval, s.shortSilenceInterval, s.restarts, s.restartSpan, s.downTime),
-		"Loads exclude the start of the initial proxies; the mean of a replica is that of the replica with the highest. Where " +
+		"Loads exclude the start of the initial proxies. The mean at one replica is the highest of any replica's. Where " +
 			"the list is pushed, an agent on each proxy's machine serves the requests, and the service's load is not emulated.",
 		fmt.Sprintf("In scenarios without outage or late start, %d real proxies without client calls watch lists as well, if "+
 			"the real proxy's program is available. A real proxy has seen a change when it sends a watch with a version that "+
--- a/internal/scale/propagation/tracker.go
+++ b/internal/scale/propagation/tracker.go
@@ -48,9 +48,9 @@
 	pending     int                        // number of changes that are not in force yet
 	accepted    int                        // number of accepted changes
 	startTimed  bool                       // proxies that start now have their start timed
-	unreachable unreachableFunc
-	recoveredAt time.Time     // end of the outage; zero before that
-	progress    chan struct{} // receives after each update that a proxy has applied; holds one
+	unreachable unreachableFunc            // for the scenario's outage; nil before it
+	recoveredAt time.Time                  // end of the outage; zero before that
+	progress    chan struct{}              // receives an element after each update that a proxy has applied; buffers one
 	times       trackedLatencies
 }
 
--- a/internal/scale/propagation/watcher.go
+++ b/internal/scale/propagation/watcher.go
@@ -17,10 +17,10 @@
 // watcher is one hollow proxy of the fleet. It persists across the proxy's restarts.
 type watcher struct {
 	location     registry.Location
-	zone         int // index of its zone
-	replicaIndex int // index among the proxies of its service
-	list         string
-	address      string
+	zone         int    // index of its zone
+	replicaIndex int    // index among the proxies of its service
+	list         string // name of the endpoint list that it watches
+	address      string // of the discovery service
 	dial         discovery.Dialer
 	seed         uint64
 	traffic      atomic.Int64 // bytes on its connections to discovery, in both directions
@@ -28,7 +28,7 @@
 	cancel context.CancelFunc
 	ended  chan struct{} // closed when the proxy has stopped
 
-	// guarded by the tracker's lock
+	// The fields below are guarded by tracker.mu.
 	registered bool                          // the tracker has it among its watchers
 	entries    map[string]discovery.Endpoint // the list that its balancer has applied; nil if there is none
 	version    int64
@@ -38,7 +38,7 @@
 	startTimed bool // its last start is timed
 }
 
-// apply applies an update that the proxy's balancer has applied to the watcher's copy of the list.
+// apply adds an update, which the proxy's balancer has applied, to the watcher's copy of the list.
 func (w *watcher) apply(list *discovery.List) {
 	w.version = list.Index
 	if list.Snapshot || w.entries == nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-// lastList returns the list that the proxy had last, or nil.
+// lastList returns the list that the proxy had last, or nil if it has never had one.
 func (w *watcher) lastList() *discovery.List {
 	if w.entries == nil {
 		return nil
@@ -100,7 +100,7 @@
 
 // settings returns the settings of the proxy. Most have no effect, as there are no calls.
 func (w *watcher) settings(poll bool) balancer.Settings {
-	const millisecond, second = 1000, 1_000_000
+	const millisecond, second = 1000, 1_000_000 // in microseconds
 	return balancer.Settings{
 		Tier:              1,
 		Replicas:          w.replicaIndex + 1,
--- a/internal/scale/proxy.go
+++ b/internal/scale/proxy.go
@@ -19,7 +19,7 @@
 // BuildCommand builds the program of the real proxy at its default path.
 const BuildCommand = "mkdir -p bin && go build -o bin/ ./cmd/baylock"
 
-// Limits of a proxy where ProxyConfig sets none. They are those of the platform.
+// The default limits of a proxy, which apply where ProxyConfig sets none. They are those of the platform.
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
@@ -63,8 +63,8 @@
 
 // StartProxy starts the real proxy's program and returns once GET /_health responds 200. For that, the proxy needs an
 // endpoint list from discovery or ProxyConfig.Known. StartProxy returns an error, and leaves no process, if the proxy
-// is not healthy after 30 s or if the program or the context ends before. The proxy runs until Stop, Kill or the end
-// of the context.
+// is not healthy after 30 s or if the process or the context ends before that. The proxy runs until Stop, Kill or the
+// end of the context.
 func StartProxy(ctx context.Context, env Env, config ProxyConfig) (*Proxy, error) {
 	if env.ProxyProgram == "" {
 		return nil, ErrProxyMissing
@@ -163,7 +163,7 @@
 		Seed: strconv.FormatUint(c.Seed, 16), Limits: limits, Known: c.Known, Settings: c.Settings}
 }
 
-// waitUntilReady returns nil once the proxy is healthy. It returns an error if the process or the context ends before,
+// waitUntilReady returns nil once the proxy is healthy. It returns an error if the process or the context ends first,
 // or after readyTimeout.
 func (p *Proxy) waitUntilReady(ctx context.Context) error {
 	timeout := time.NewTimer(readyTimeout)
--- a/internal/scale/ramp/ramp.go
+++ b/internal/scale/ramp/ramp.go
@@ -13,7 +13,7 @@
 	"baylock/internal/timing"
 )
 
-// Experiment is the "ramp" experiment.
+// Experiment runs all scenarios, in each of which one backend or all backends of a zone restart cold.
 var Experiment = scale.Experiment{
 	Name:    "ramp",
 	Summary: "load of cold backends relative to what they can sustain, and calls served meanwhile",
@@ -23,7 +23,7 @@
 // plan configures the size of the service and the durations of the phases of a scenario.
 type plan struct {
 	backends int
-	warmUp   time.Duration // not measured
+	warmUp   time.Duration // at the start of the scenario, not measured
 	before   time.Duration // all backends are up
 	outage   time.Duration // the backends that will restart are down
 	recovery time.Duration // from the restart of these backends on
@@ -31,7 +31,7 @@
 
 var (
 	fullPlan = plan{backends: 30, warmUp: 4 * time.Second, before: 4 * time.Second, outage: 2 * time.Second,
-		recovery: warmUp + 2*time.Second}
+		recovery: backendWarmUp + 2*time.Second}
 	smallPlan = plan{backends: 10, warmUp: time.Second, before: time.Second, outage: time.Second,
 		recovery: 2 * time.Second}
 )
@@ -151,10 +151,11 @@
 	return []string{
 		fmt.Sprintf("%d backends in %d zones, each with a capacity of %.0f calls/s when warm. A cold one starts at %.1f of it, "+
 			"has all of it after %v, and crashes when it receives too much load within %v.",
-			p.backends, len(zones), warmRate, initialCapacity, warmUp, overloadWindow),
+			p.backends, len(zones), warmRate, initialCapacity, backendWarmUp, overloadWindow),
 		fmt.Sprintf("Proxies generate idempotent calls; lists are pushed. Backends are down, and not on the list, for %v before "+
 			"they restart; the %v after the restart are measured.", p.outage, p.recovery),
-		"A cold backend sustains N + 2 x sqrt(N) + 2 calls of mean work, N being the multiple of its current capacity.",
+		"Too much load for a cold backend is more than N + 2 x sqrt(N) + 2 calls of mean work, N being the calls that it can " +
+			"serve in the same time, multiplied by the factor in the name of the case.",
 	}
 }
 
--- a/internal/scale/ramp/service.go
+++ b/internal/scale/ramp/service.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	serviceTime = 20 * time.Millisecond  // mean, at a warm backend
-	latency     = 200 * time.Microsecond // mean, one way, between proxy and backend
-	workers     = 4
-	queueLimit  = 40 // takes a warm backend 200 ms to serve
+	meanServiceTime = 20 * time.Millisecond  // mean, at a warm backend
+	networkLatency  = 200 * time.Microsecond // mean, one way, between proxy and backend
+	workers         = 4                      // concurrent attempts at a backend
+	queueSize       = 40                     // capacity of a backend's queue, in attempts; takes a warm backend 200 ms to serve
 
 	initialCapacity = 0.3             // of a cold backend, as a fraction of its warm capacity
-	warmUp          = 8 * time.Second // until a cold backend is warm
+	backendWarmUp   = 8 * time.Second // until a cold backend is warm
 	overloadWindow  = time.Second     // within which the load of a cold backend is counted
 
 	listName = "service"
@@ -31,12 +31,12 @@
 )
 
 // warmRate is the capacity of a warm backend in calls per second.
-var warmRate = workers / serviceTime.Seconds()
+var warmRate = workers / meanServiceTime.Seconds()
 
 var zones = []string{"zone-a", "zone-b", "zone-c", "zone-d", "zone-e"}
 
 var classes = []balancer.Class{{
-	LatencyObjective: 400_000,
+	LatencyObjective: 400_000, // microseconds, as all durations of classes and settings
 	Deadline:         1_500_000,
 	PriorityWeight:   1,
 	LateFraction:     0.25,
@@ -73,13 +73,13 @@
 	svc.tier, err = backend.New(backend.Config{
 		Names:   svc.names,
 		Classes: classes,
-		Work:    serviceTime,
-		Latency: latency,
+		Work:    meanServiceTime,
+		Latency: networkLatency,
 		Workers: workers,
-		Queue:   queueLimit,
+		Queue:   queueSize,
 		ColdStart: backend.ColdStart{
 			InitialCapacity: initialCapacity,
-			WarmUp:          warmUp,
+			WarmUp:          backendWarmUp,
 			OverloadFactor:  c.overloadFactor,
 			OverloadWindow:  overloadWindow,
 		},
@@ -143,7 +143,7 @@
 		DrainGrace:        300_000,
 		SlowStartCapacity: initialCapacity,
 		SlowStartOverload: c.overloadFactor,
-		SlowStartDuration: microtime.FromDuration(warmUp),
+		SlowStartDuration: microtime.FromDuration(backendWarmUp),
 	}
 }
 
--- a/internal/scale/reload/reload.go
+++ b/internal/scale/reload/reload.go
@@ -10,7 +10,7 @@
 	"baylock/internal/scale"
 )
 
-// Experiment is the "reload" experiment.
+// Experiment changes the configuration of all proxies several times while they serve calls.
 var Experiment = scale.Experiment{
 	Name:       "reload",
 	Summary:    "time until a changed configuration is in force at many real proxies, without a restart",
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -76,8 +76,8 @@
 	return r, nil
 }
 
-// StoredResults returns the paths of the results in a folder, sorted by name, which puts those of one experiment
-// and form in chronological order.
+// StoredResults returns the paths of the results in a folder, sorted by name, so that the results of an experiment in
+// its full form, and those in its small form, are each in chronological order.
 func StoredResults(folder string) ([]string, error) {
 	entries, err := os.ReadDir(folder)
 	if err != nil {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -123,11 +123,11 @@
 		t.Errorf("after the release of a process: %v", err)
 	}
 	half := machineMemory() / 2
-	budget.LowerMemory(1 << 62)
+	budget.LowerMemoryLimit(1 << 62)
 	if half == 0 || budget.maxMemory != half {
 		t.Errorf("limit %d, half of the machine's memory is %d", budget.maxMemory, half)
 	}
-	budget.LowerMemory(1)
+	budget.LowerMemoryLimit(1)
 	if err := budget.WatchMemory(t.Context()); !errors.As(err, &limit) {
 		t.Errorf("over the memory limit: %v", err)
 	}
--- a/internal/scale/scaletest/scaletest.go
+++ b/internal/scale/scaletest/scaletest.go
@@ -82,7 +82,7 @@
 		begin := time.Now()
 		_, err := experiment.Run(ctx, EnvInMemory(seed))
 		if !errors.Is(err, context.DeadlineExceeded) || time.Since(begin) > timeout+tolerance {
-			t.Errorf("got error %v after %v", err, time.Since(begin))
+			t.Errorf("got error %v after %v, want DeadlineExceeded at the timeout", err, time.Since(begin))
 		}
 	})
 }
@@ -110,8 +110,8 @@
 // FigureName identifies a figure of a result.
 type FigureName struct{ Case, Quantity string }
 
-// CheckFigures checks that figures are complete, have distinct names and come from the given source. It returns their
-// names.
+// CheckFigures checks that figures are complete, have distinct names and no negative values, and come from the given
+// source. It returns their names.
 func CheckFigures(t *testing.T, figures []scale.Figure, source scale.Source) map[FigureName]bool {
 	t.Helper()
 	seen := map[FigureName]bool{}
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -89,7 +89,7 @@
 // DefaultSettings returns settings that fit most experiments: two classes, two tenants whose quotas no experiment
 // reaches, five zones, and one proxy of the tier. Membership is Pushed or Polled.
 func DefaultSettings(membership string) Settings {
-	const quota = 100_000
+	const quota = 100_000 // requests per second
 	class := func(name, idempotency string) Class {
 		return Class{
 			Name:             name,
--- a/internal/scale/slopes/measure.go
+++ b/internal/scale/slopes/measure.go
@@ -41,6 +41,7 @@
 
 func (p *point) add(m metric, value float64) { p.samples[m] = append(p.samples[m], value) }
 
+// value returns the median of a metric's samples.
 func (p *point) value(m metric) float64 { return scale.Median(p.samples[m]) }
 
 const (
@@ -162,7 +163,7 @@
 	used = used.minus(s.idle)
 	s.point.add(changeCPU, microseconds(used.cpu)/changes)
 	s.point.add(changeBytes, float64(used.bytes)/changes)
-	if used, err = s.costOf(func() error { return s.requestSnapshots(ctx) }); err != nil {
+	if used, err = s.costOf(func() error { return s.forceSnapshots(ctx) }); err != nil {
 		return fmt.Errorf("snapshots: %w", err)
 	}
 	snapshots := float64(s.plan.snapshots)
--- a/internal/scale/slopes/slopes.go
+++ b/internal/scale/slopes/slopes.go
@@ -1,5 +1,6 @@
-// Package slopes measures the cost of control for one real proxy as its endpoint list grows: memory, CPU time and
-// discovery traffic, idle and under load, at four list sizes, and a line fitted to them.
+// Package slopes measures the cost of control for one real proxy, that is, of everything but serving calls, as its
+// endpoint list grows: memory, CPU time and discovery traffic, idle and under load, at four list sizes, and a line
+// fitted to the values of each.
 package slopes
 
 import (
@@ -10,7 +11,7 @@
 	"baylock/internal/scale"
 )
 
-// Experiment is the "slopes" experiment.
+// Experiment measures one proxy for each list size, once with pushed and once with polled lists.
 var Experiment = scale.Experiment{
 	Name:       "slopes",
 	Summary:    "memory, CPU time and discovery traffic of one real proxy as its endpoint list grows, idle and in use",
@@ -47,8 +48,8 @@
 
 // mode is a way in which the proxy receives updates of its endpoint list.
 type mode struct {
-	name       string
-	membership string
+	name       string // part of the figures' cases; "asked" means polled
+	membership string // scale.Pushed or scale.Polled
 }
 
 func modes() []mode { return []mode{{"pushed", scale.Pushed}, {"asked", scale.Polled}} }
@@ -82,8 +83,8 @@
 
 func notes(p plan, proxyCores, allCores []int) []string {
 	list := []string{
-		fmt.Sprintf("The proxies, one per list size with limits of 1 core, 192 MB and 1,024 descriptors, ran on core %v, "+
-			"one in use at a time. The tool with discovery, clients and backends ran on the other cores of %v.",
+		fmt.Sprintf("The proxies, one per list size with limits of 1 core, 192 MB and 1,024 descriptors, ran on core %v "+
+			"of the allowed cores %v, one in use at a time. The tool with discovery, clients and backends ran on the others, if any.",
 			proxyCores, allCores),
 		"Bytes are those of the discovery protocol at the application layer, in both directions, headers included; TCP and " +
 			"IP overhead is not counted. Entries of the emulated service are as long as the real ones without their type.",
--- a/internal/scale/slopes/slopes_test.go
+++ b/internal/scale/slopes/slopes_test.go
@@ -44,12 +44,13 @@
 	}
 }
 
-// checkSamples checks the number of samples of each metric, and that the values that are positive on any machine are.
+// checkSamples checks the number of samples of each metric, and that each value is positive, except those of the metrics
+// in mayBeNonPositive.
 func checkSamples(t *testing.T, p plan, measured *point) {
 	t.Helper()
 	counts := map[metric]int{restartTime: p.starts, restartCPU: p.starts, restartBytes: p.starts,
 		idleMemory: 1, idleCPU: 1, idleBytes: 1}
-	// These may be zero, or negative because other costs are subtracted from some of them.
+	// The values of these metrics may be zero. Some may also be negative, because other costs are subtracted from them.
 	mayBeNonPositive := []metric{idleCPU, idleBytes, inUseBytes, inUseChangeCPU, changeCPU, snapshotCPU}
 	for m := range metricCount {
 		want, ok := counts[m]
--- a/internal/scale/slopes/subject.go
+++ b/internal/scale/slopes/subject.go
@@ -18,7 +18,7 @@
 const (
 	listName = "tier"
 	region   = "region-1"
-	// A proxy that is more changes than this behind receives a snapshot from the discovery service.
+	// The number of changes in the discovery service's log. A proxy that is further behind receives a snapshot.
 	logLimit      = 8
 	callTimeoutMs = 2000
 	// The random stream of the discovery service. Each subject uses the stream numbered like its list size.
@@ -194,9 +194,9 @@
 	return s.applied.wait(ctx, last)
 }
 
-// requestSnapshots makes the proxy receive several snapshots, by publishing more changes at once than the log of the
+// forceSnapshots makes the proxy receive several snapshots, by publishing more changes at once than the log of the
 // discovery service holds.
-func (s *subject) requestSnapshots(ctx context.Context) error {
+func (s *subject) forceSnapshots(ctx context.Context) error {
 	for range s.plan.snapshots {
 		change, err := s.registry.Publish(listName, region, s.endpoints[:logLimit+1]...)
 		if err != nil {
--- a/internal/scale/traffic/backend.go
+++ b/internal/scale/traffic/backend.go
@@ -35,8 +35,8 @@
 	done    chan struct{} // closed once the server has stopped
 }
 
-// StartBackend starts a backend at a free port of 127.0.0.1. If next is not nil, each request makes a call with it, and
-// fails if that call fails.
+// StartBackend starts a backend at a free port of 127.0.0.1. If next is not nil, the backend makes a call with it
+// for each request, and fails the request if that call fails.
 func StartBackend(next *Client, log *slog.Logger) (*Backend, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,7 +53,8 @@
 	return b, nil
 }
 
-// ServeHTTP responds to a request.
+// ServeHTTP responds with status 200, or with 404 to a request without an ID, or with 500 if the call to the next tier
+// fails.
 func (b *Backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	b.calls.Add(1)
 	if r.Header.Get(idHeader) == "" {
@@ -64,7 +65,7 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	w.Header()["Date"] = nil
+	w.Header()["Date"] = nil // prevents the server from adding the header
 	w.Header().Set("Content-Length", strconv.Itoa(len(responseBody)))
 	_, _ = w.Write(responseBody) // fails only if the client has disconnected
 }
--- a/internal/scale/traffic/client.go
+++ b/internal/scale/traffic/client.go
@@ -14,7 +14,7 @@
 
 const dialTimeout = 2 * time.Second
 
-// Call is a request of an idempotent class.
+// Call is a request. Its class must be idempotent, as Client.Call may send the request twice.
 type Call struct {
 	ID, Class, Tenant string
 	TimeoutMs         int // until the client gives up
--- a/regress.sh
+++ b/regress.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Scores the programs with the operators' kit: each quick scenario, one after the other, some ten minutes on eight idle
-# cores. KIT names the folder of the kit; SEED repeats the fleet's close-range scenario, whose random seed is printed.
-# Fails on a broken rule, a crash, a failed start or a failed gate, but on no score. The journal entries of the runs are
-# to be committed as they are.
+# Scores the programs with the operators' kit, which runs each quick scenario, one after the other. This takes some ten
+# minutes on eight idle cores. KIT names the folder of the kit. The fleet's close-range scenario has a random seed, which
+# is printed; SEED repeats it. The script fails on a broken rule, a crash, a failed start, a failed gate or a missing
+# score, but not on a low score. Commit the journal entries of the runs as they are.
 set -u
 cd "$(dirname "$0")" || exit
 
--- a/test.sh
+++ b/test.sh
@@ -1,13 +1,14 @@
 #!/usr/bin/env bash
-# Runs the whole test suite: formatting, vet, staticcheck (all checks, see staticcheck.conf), tests, and checks of the
-# files of decisions that deploy/balancer.toml names under "policy".
+# Runs the whole test suite: formatting, vet, staticcheck (all checks, see staticcheck.conf), tests, and checks of
+# the policy files: the files with the balancer's decisions, which deploy/balancer.toml lists under "policy".
 set -euo pipefail
 cd "$(dirname "$0")"
 
 max_columns=110
 tab='    ' # counts as four columns
 
-# Files of balancer/ without decisions: documentation, types, settings, and records of what was counted and learned.
+# Files of balancer/ that hold no decisions, so that "policy" need not list them: documentation, types, settings, and
+# records of what was counted and learned.
 no_decisions=(balancer/{doc,settings,events,host,validate,time,timer_token,request,class,endpoints}.go
   balancer/{window,decaying_count,timeline,report,reconfigure,handover}.go)
 
