--- a/internal/scale/budget.go
+++ b/internal/scale/budget.go
@@ -29,7 +29,7 @@
 	mu           sync.Mutex // guards all fields below
 	processes    int
 	maxProcesses int
-	maxMemory    int64 // in bytes
+	maxMemory    int64             // in bytes
 	started      map[*Process]bool // processes that have started and not ended
 }
 
